--- a/source/control/claim_bridge.h
+++ b/source/control/claim_bridge.h
@@ -4,13 +4,14 @@
 #include "control/event.h"
 #include "control/state.h"
 
-/// Joins the claim reducer to the host's whole state.
+/// Connects the claim reducer to the control state of the host.
 namespace almondquay {
 
-/// Runs the claim reducer and translates its effects; messages get the endpoints of their hosts.
+/// Runs the claim reducer and converts its effects to control effects; the receiver of a message is
+/// resolved from its host id to an endpoint.
 void take_claim_event(control_state& state, const event& e, const claim_event& body, effects& out);
 
-/// Tells the claims who is alive.
+/// Updates the claim reducer's view of the live hosts from the membership state.
 void renew_claim_view(control_state& state);
 
 } // namespace almondquay
--- a/source/control/decisions.h
+++ b/source/control/decisions.h
@@ -8,7 +8,7 @@
 
 namespace almondquay {
 
-/// The parts of a decision that the deciding rule supplies.
+/// The fields of a decision that its call site supplies.
 struct decision_draft {
     std::string kind;
     std::string rule;
@@ -17,10 +17,11 @@
     std::vector<decision_input> inputs;
 };
 
-/// Numbers and times a decision, adds the effect that records it and returns its id.
+/// Assigns an id and a timestamp to a decision, emits the effect that records it and returns the
+/// id.
 std::string decide(control_state& state, effects& out, wall_time wall, decision_draft draft);
 
-/// The id under which all hosts refer to the acceptance of a generation.
+/// The id of the change that created this generation; it is the same on all hosts.
 std::string change_id(const fleet_envelope& envelope);
 
 } // namespace almondquay
--- a/source/control/effect.h
+++ b/source/control/effect.h
@@ -12,48 +12,50 @@
 #include <variant>
 #include <vector>
 
-/// What the reducer wants done. Effects are data; the interpreter carries them out.
+/// Side effects requested by the reducer. Effects are plain data; the interpreter executes them.
 namespace almondquay {
 
-/// Gives the traffic threads a new view.
+/// Publishes a new routing snapshot to the traffic threads.
 struct publish_effect {
     snapshot_ptr snapshot;
 };
 
-/// Waits for a fleet object other than version `known`. Ends in a fleet_read_event.
+/// Long-polls for a version of the fleet object other than `known`. Completes with a
+/// fleet_read_event.
 struct watch_fleet_effect {
     object_version known = 0;
     std::chrono::milliseconds wait{0};
 };
 
-/// Writes the fleet object if it has version `expected`. Ends in a fleet_written_event.
+/// Writes the fleet object if its version is still `expected`. Completes with a
+/// fleet_written_event.
 struct write_fleet_effect {
     fleet_envelope envelope;
     object_version expected = 0;
 };
 
-/// Asks a peer for its envelope. Ends in a peer_fleet_event.
+/// Requests the fleet envelope of a peer. Completes with a peer_fleet_event.
 struct fetch_fleet_effect {
     endpoint peer;
 };
 
-/// Asks the store about its inventory. Ends in an inventory_read_event.
+/// Queries the store's inventory. Completes with an inventory_read_event.
 struct ask_inventory_effect {
     inventory_question question;
 };
 
-/// Lists this host in the store. Ends in a host_registered_event.
+/// Registers this host in the store. Completes with a host_registered_event.
 struct register_host_effect {
     host self;
 };
 
-/// Takes a host that is long dead off the store's list.
+/// Deletes the entry of a host that has been dead for a long time from the store.
 struct remove_host_effect {
     host_id id;
 };
 
-/// Asks a peer for what its copy of the inventory has beyond `have`. Ends in a
-/// peer_inventory_event.
+/// Requests the changes after revisions `have` from a peer's copy of the inventory. Completes with
+/// a peer_inventory_event.
 struct fetch_inventory_effect {
     endpoint peer;
     inventory_revisions have;
@@ -64,34 +66,33 @@
     gossip_message message;
 };
 
-/// Passes a message about a claim to a host; its answers come as messages of their own.
+/// Sends a claim protocol message to a host; replies arrive as separate messages.
 struct send_claim_message_effect {
     endpoint peer;
     claim_message message;
 };
 
-/// Tells a peer of a request that was in flight at a crash.
+/// Reports to a peer a request that was in flight when a target crashed.
 struct share_evidence_effect {
     endpoint peer;
     crash_evidence evidence;
 };
 
-/// Asks a target whether it answers. Ends in a probe_ended_event.
+/// Sends a health check to a target. Completes with a probe_ended_event.
 struct probe_effect {
     target_id target;
     endpoint address;
     std::string path;
 };
 
-/// Keeps a decision for the time line and the log.
+/// Writes a decision to the timeline and the log.
 struct record_effect {
     decision made;
 };
 
-/// Takes no further requests and ends once the running ones have. Ends in a traffic_ended_event.
+/// Stops accepting requests and drains the running ones. Completes with a traffic_ended_event.
 struct stop_traffic_effect {};
 
-/// Ends the process.
 struct exit_effect {};
 
 using effect =
--- a/source/control/event.h
+++ b/source/control/event.h
@@ -11,23 +11,23 @@
 #include <string>
 #include <variant>
 
-/// Everything that can happen to a host's control state.
+/// The input events of the control reducer.
 namespace almondquay {
 
-/// Time has passed; sent every `tick_interval`.
+/// Periodic timer event, sent every `tick_interval`.
 struct tick_event {};
 
-/// A read or watch of the fleet object ended.
+/// A read or watch of the fleet object completed.
 struct fleet_read_event {
     result<stored_object> object;
 };
 
-/// A write of the fleet object ended.
+/// A write of the fleet object completed.
 struct fleet_written_event {
     result<object_version> version;
 };
 
-/// A peer answered with its envelope, or did not.
+/// A request for a peer's fleet envelope succeeded or failed.
 struct peer_fleet_event {
     std::string peer;
     result<fleet_envelope> envelope;
@@ -37,29 +37,29 @@
     gossip_message message;
 };
 
-/// A question about the store's inventory ended.
+/// A query of the store's inventory completed.
 struct inventory_read_event {
     inventory_question question;
     result<inventory_page> page;
 };
 
-/// The registration of this host ended.
+/// The registration of this host in the store completed.
 struct host_registered_event {
     result<done> outcome;
 };
 
-/// A peer answered with its copy of the inventory, or did not.
+/// A request for a peer's copy of the inventory succeeded or failed.
 struct peer_inventory_event {
     std::string peer;
     result<inventory_copy> copy;
 };
 
-/// The settings file has changed, or a signal asked to read it again.
+/// The settings file was reloaded because it changed or a signal requested it.
 struct settings_changed_event {
     std::vector<endpoint> seeds;
 };
 
-/// How the traffic threads fared with a target.
+/// The outcome of an exchange of the traffic threads with a target.
 enum class target_evidence { served, connect_failed, connection_refused, answer_lost };
 
 /// Sent on every failure and on the first success after failures.
@@ -73,23 +73,23 @@
     bool answered = false;
 };
 
-/// A target went away with this request in flight, as seen here or by a peer.
+/// A target crashed while this request was in flight; observed by this host or reported by a peer.
 struct crash_evidence_event {
     crash_evidence what;
     bool from_peer = false;
 };
 
-/// A request that was in flight at a crash has been served since.
+/// A request that was in flight at a crash has since been served successfully.
 struct request_cleared_event {
     request_fingerprint fingerprint = 0;
 };
 
-/// An operator takes a request out of quarantine.
+/// An operator releases a request from quarantine.
 struct request_released_event {
     request_fingerprint fingerprint = 0;
 };
 
-/// The operator asked this process to stop.
+/// The operator requested a graceful stop of this process.
 struct stop_requested_event {};
 
 /// The traffic threads have finished their last request.
@@ -102,7 +102,7 @@
                  inventory_read_event, host_registered_event, peer_inventory_event,
                  settings_changed_event>;
 
-/// An event and the time at which it was taken from the queue.
+/// An event and the time at which it was dequeued.
 struct event {
     event_body body;
     monotonic_time now;
--- a/source/control/fleet_adoption.cpp
+++ b/source/control/fleet_adoption.cpp
@@ -36,8 +36,8 @@
     return state.fleet.envelope && envelope.number <= state.fleet.envelope->number;
 }
 
-/// Two texts of one generation cannot both have been accepted by the platform unless it was
-/// restored in between. Neither replaces the other; the next generation heals it.
+/// The platform accepts two texts with the same generation only if it was restored to an older
+/// state in between. Neither text replaces the other; the next generation resolves the conflict.
 void note_disagreement(control_state& state, const event& e, const fleet_envelope& envelope,
                        const std::string& source, effects& out)
 {
@@ -49,9 +49,9 @@
     state.fleet.disagreed = envelope.number;
     decide(state, out, e.wall,
            {"fleet_conflict",
-            "of two texts with one generation the first one stays in force",
+            "of two texts with the same generation the first one stays in force",
             "A different text with generation " + std::to_string(envelope.number.value) +
-                " was seen; the one in force stays. Apply the intended text once more.",
+                " was seen; the one in force stays. Apply the intended text again.",
             {state.fleet.adopted_by},
             {{"seen_at", source}}});
 }
@@ -64,8 +64,9 @@
     }
     decide(state, out, e.wall,
            {"refuse_fleet",
-            "a text with findings is never put in force",
-            "Generation " + std::to_string(envelope.number.value) + " is refused.",
+            "a text with errors is never put in force",
+            "Generation " + std::to_string(envelope.number.value) +
+                " is rejected because its text has errors.",
             {},
             {{"first_finding", to_string(findings.front())},
              {"findings", std::to_string(findings.size())},
@@ -93,14 +94,14 @@
           {"source", source},
           {"changed_by", envelope.changed_by},
           {"change", change_id(envelope)}}});
-    renew_places(state); // The text just put in force does not list those to tell.
+    renew_places(state); // The text alone does not list the hosts to announce it to.
     const bool is_relayed = state.self.has_inventory && source != from_store;
     if (!is_relayed) {
         announce(state, out);
     }
 }
 
-/// The platform was restored to an older state: it gets back what is in force.
+/// Writes the configuration in force back to a platform that was restored to an older state.
 void restore_platform(control_state& state, const event& e, const fleet_envelope& seen,
                       effects& out)
 {
@@ -111,9 +112,9 @@
     state.fleet.write_running = true;
     decide(state, out, e.wall,
            {"restore_platform",
-            "the platform gets back a higher generation that is in force",
+            "a platform with a lower generation than the one in force is restored from it",
             "The platform holds generation " + std::to_string(seen.number.value) +
-                ", older than the one in force; it is written back.",
+                ", older than the one in force, which is written back.",
             {state.fleet.adopted_by},
             {{"in_force", std::to_string(state.fleet.envelope->number.value)}}});
     out.emplace_back(write_fleet_effect{*state.fleet.envelope, state.fleet.platform_version});
@@ -149,7 +150,7 @@
     state.snapshot_is_stale = true;
     decide(state, out, e.wall,
            {"start_serving",
-            "a host serves once the platform, or failing that a peer, has told it what is in force",
+            "a host serves once it knows the configuration in force from the platform or a peer",
             "This host starts serving.",
             {state.fleet.adopted_by},
             {{"platform", state.fleet.platform_reachable ? "answered" : "out of reach"}}});
--- a/source/control/fleet_adoption.h
+++ b/source/control/fleet_adoption.h
@@ -4,15 +4,16 @@
 #include "control/event.h"
 #include "control/state.h"
 
-/// Which configuration is in force: only ever a higher generation.
+/// Selects the configuration in force; it is only ever replaced by one with a higher generation.
 namespace almondquay {
 
-/// How long one watch waits at the platform.
+/// Long-poll timeout of a watch on the platform.
 constexpr std::chrono::milliseconds watch_wait{20'000};
-/// Hosts of one failure domain that watch the platform; the others hear from them.
+/// Number of hosts per failure domain that watch the platform; the others learn of changes by
+/// gossip.
 constexpr std::size_t watchers_per_domain = 2;
 
-/// Starts a watch if this host should watch and none is running; asks peers while starting.
+/// Starts a watch if this host should watch and none is running; queries the seeds while starting.
 void tick_fleet(control_state& state, const event& e, effects& out);
 
 void take_fleet_read(control_state& state, const event& e, const fleet_read_event& read,
@@ -21,14 +22,16 @@
 void take_peer_fleet(control_state& state, const event& e, const peer_fleet_event& answer,
                      effects& out);
 
-/// Puts an envelope in force if it is newer than the one in force and can be read.
+/// Puts an envelope in force if its generation is higher than the current one and its text parses.
 void adopt(control_state& state, const event& e, const fleet_envelope& envelope,
            const std::string& source, effects& out);
 
-/// Serves once the platform, or failing that a peer, has told what is in force.
+/// Starts serving once the configuration in force is known from the platform or, if the platform
+/// cannot be reached, from a peer.
 void start_serving_if_ready(control_state& state, const event& e, effects& out);
 
-/// Whether this host is one of its domain's watchers, by rendezvous hashing over the live ones.
+/// Whether this host watches the platform for its failure domain. The watchers are the live hosts
+/// that rank first by the hash of their id.
 bool is_watcher(const control_state& state);
 
 } // namespace almondquay
--- a/source/control/inventory_changes.h
+++ b/source/control/inventory_changes.h
@@ -5,24 +5,25 @@
 #include <set>
 #include <string>
 
-/// The latest changes of the inventory by name, so that peers can be told what they lack instead of
-/// everything.
+/// A bounded log of changed inventory names, so that peers can be sent the changes they lack
+/// instead of whole lists.
 namespace almondquay {
 
-/// Older changes are forgotten; peers that lack them get whole lists.
+/// Older changes are dropped; peers that lack them are sent whole lists.
 constexpr std::size_t max_kept_changes = 4'096;
 
-/// Notes that the list has news of `name` with revision `at`.
+/// Records that the entry `name` changed at revision `at`.
 void note_change(inventory_state& inventory, inventory_kind kind, store_revision at,
                  std::string name);
 
-/// Notes that a list was replaced as a whole: changes before it are not known one by one.
+/// Records that a list was replaced as a whole at revision `at`: the single changes up to it are
+/// not known.
 void forget_changes(inventory_state& inventory, inventory_kind kind, store_revision at);
 
-/// Whether all changes of the list after `since` are known.
+/// Whether the log holds all changes of the list after `since`.
 bool knows_changes(const inventory_state& inventory, inventory_kind kind, store_revision since);
 
-/// Names with news after `since`.
+/// The names that changed after `since`.
 std::set<std::string> changed_names(const inventory_state& inventory, inventory_kind kind,
                                     store_revision since);
 
--- a/source/control/inventory_items.cpp
+++ b/source/control/inventory_items.cpp
@@ -10,7 +10,7 @@
 
 constexpr std::size_t max_unreadable_names = 1'000;
 
-/// Names an entry that stands for nothing once, until it can be read again.
+/// Records an unreadable entry once, until it can be read again.
 void note_unreadable(control_state& state, const event& e, inventory_kind kind,
                      const inventory_item& item, const unreadable_entry& entry, effects& out)
 {
@@ -21,13 +21,14 @@
     }
     decide(state, out, e.wall,
            {"ignore_entry",
-            "an entry that cannot be read names nothing to use",
-            "Entry " + name + " is ignored.",
+            "an entry that cannot be read counts as absent",
+            "Entry " + name + " cannot be read and is ignored.",
             {},
             {{"why", entry.why}}});
 }
 
-/// Targets keep serving for a while after their entry is gone, so nothing is lost by stopping.
+/// Targets keep serving for a while after their entry was deleted, so running requests still
+/// complete.
 void remove_target(control_state& state, const event& e, const target_id& id,
                    const std::string& rule, effects& out)
 {
@@ -37,12 +38,13 @@
     }
     state.targets.erase(id);
     state.snapshot_is_stale = true;
-    decide(state, out, e.wall,
-           {"target_gone", rule, "Target " + id.value + " is gone.", {}, {{"target", id.value}}});
+    decide(
+        state, out, e.wall,
+        {"target_gone", rule, "Target " + id.value + " is removed.", {}, {{"target", id.value}}});
 }
 
-/// Entries lapse while the store is away, so a target that is missed soon after its return has the
-/// rest of `return_time` to come back. A deletion that is seen later is one.
+/// Entries expire during an outage of the store, so a target that is missing soon after the outage
+/// has the rest of `return_time` to register again. A deletion seen later takes effect at once.
 void miss_target(control_state& state, const event& e, const target_id& id, effects& out)
 {
     auto& inventory = state.inventory;
@@ -56,7 +58,7 @@
     }
 }
 
-/// The cold time that a target is given when nobody says whether it is cold.
+/// The cold time assumed for a target that does not report one.
 std::chrono::milliseconds assumed_cold_time(const control_state& state, const target& t)
 {
     const auto found = state.fleet.text.services.find(t.serves);
@@ -71,13 +73,13 @@
     }
 }
 
-/// An entry that was deleted or can no longer be read.
+/// Handles an entry that was deleted or can no longer be read.
 void take_absence(control_state& state, const event& e, inventory_kind kind,
                   const std::string& name, effects& out)
 {
     switch (kind) {
     case inventory_kind::configuration:
-        return; // What is in force stays in force.
+        return; // The configuration in force stays in force.
     case inventory_kind::targets:
         miss_target(state, e, target_id(name), out);
         return;
@@ -105,7 +107,7 @@
         return;
     }
     if (is_restarted) {
-        state.targets.erase(id); // What was known of its health was another life's.
+        state.targets.erase(id); // The recorded health is that of its previous incarnation.
     }
     auto& listed = inventory.targets[id];
     const bool turns_cold = entry.cold_left.count() != 0 && listed.cold_until <= e.now;
@@ -120,7 +122,7 @@
     }
     decide(state, out, e.wall,
            {"target_listed",
-            "targets register themselves in the store",
+            "targets are used as they register themselves in the store",
             "Target " + id.value + " of " + entry.what.serves.value +
                 (entry.what.leaving ? " is leaving." : " is listed."),
             {},
@@ -149,8 +151,9 @@
     }
     decide(state, out, e.wall,
            {begins ? "evacuate" : "evacuation_over",
-            "targets of an evacuated failure domain get nothing new",
-            "Failure domain " + domain.value + (begins ? " is evacuated." : " is taken back."),
+            "targets of an evacuated failure domain get no new requests",
+            "Failure domain " + domain.value +
+                (begins ? " is evacuated." : " is no longer evacuated."),
             {},
             {{"failure_domain", domain.value}}});
 }
--- a/source/control/inventory_items.h
+++ b/source/control/inventory_items.h
@@ -7,33 +7,35 @@
 #include <set>
 #include <string>
 
-/// What single entries of the store's lists change in this host's copy, whoever told of them.
+/// Applies single inventory entries, from the store or from a peer, to this host's copy.
 namespace almondquay {
 
-/// Takes an entry over: one that cannot be read names nothing, one that was deleted is gone.
+/// Applies an entry read from the store. An entry that cannot be parsed counts as absent, like one
+/// that was deleted.
 void take_item(control_state& state, const event& e, inventory_kind kind,
                const inventory_item& item, effects& out);
 
-/// A target as it registered itself; an older life of it changes nothing.
+/// Applies the registration of a target; one with an older incarnation is ignored.
 void take_target(control_state& state, const event& e, const registered_target& entry,
                  effects& out);
 
 void take_host(control_state& state, const host& h);
 
-/// The targets of a domain that is taken back are cold unless they say otherwise.
+/// Begins or ends the evacuation of a failure domain. When it ends, the domain's targets count as
+/// cold for the cold time of their service unless they register otherwise.
 void note_evacuation(control_state& state, const event& e, const failure_domain_id& domain,
                      bool begins, effects& out);
 
-/// An entry that a peer says is gone, or goes after `kept_for`.
+/// Removes an entry that a peer reports as deleted; a target is kept for another `kept_for`.
 void take_gone(control_state& state, const event& e, inventory_kind kind, const std::string& name,
                std::chrono::milliseconds kept_for, effects& out);
 
-/// What a whole list, whose names are `seen`, does not name any more is gone. Returns whether there
-/// was something.
+/// Removes the entries that a complete list with the names `seen` no longer contains. Returns
+/// whether there were any.
 bool drop_unseen(control_state& state, const event& e, inventory_kind kind,
                  const std::set<std::string>& seen, effects& out);
 
-/// Drops the deleted targets whose time to register again is over.
+/// Removes the targets that did not register again in time after an outage of the store.
 void drop_missing(control_state& state, const event& e, effects& out);
 
 } // namespace almondquay
--- a/source/control/inventory_sync.cpp
+++ b/source/control/inventory_sync.cpp
@@ -20,14 +20,14 @@
 constexpr std::chrono::milliseconds shortest_backoff{150};
 constexpr std::chrono::milliseconds longest_backoff{1'500};
 constexpr unsigned max_doublings = 4;
-/// Entry hosts silent for this long are taken off the list, by the first follower of a region.
+/// Hosts silent for this long are deleted from the store by the first follower of a region.
 constexpr std::chrono::minutes long_dead{2};
-/// The revision of a list in which nothing was ever listed; 0 would say that it is not known.
+/// The revision of a list that never had an entry; 0 would mean that the list is not known.
 const store_revision known_empty{1};
-/// Targets and hosts come and go many at a time. A pause before the next question gathers their
-/// changes in one answer; it is a small part of the seconds that a leaving target keeps serving.
+/// Targets and hosts often change many at a time. A delay before the next query batches their
+/// changes in one answer; it is short compared to the seconds that a leaving target keeps serving.
 constexpr std::chrono::milliseconds swarm_pause{800};
-/// Gossip tells sooner which listed hosts live, so only new hosts wait for this.
+/// Gossip shows earlier which of the listed hosts are alive, so this delays only new hosts.
 constexpr std::chrono::milliseconds host_swarm_pause{2'000};
 
 std::chrono::milliseconds backoff(control_state& state, unsigned failures)
@@ -47,7 +47,7 @@
     case inventory_kind::evacuations:
         return longest_evacuation_wait;
     case inventory_kind::hosts:
-        break; // Gossip tells of hosts sooner than their list.
+        break; // Gossip reports changes of hosts earlier than their list.
     }
     return longest_follow_wait;
 }
@@ -55,10 +55,12 @@
 std::chrono::milliseconds follow_wait(control_state& state, inventory_kind kind)
 {
     if (list_of(state.inventory, kind).failures != 0) {
-        return std::chrono::milliseconds{0}; // Tells soonest that the store has returned.
+        return std::chrono::milliseconds{
+            0}; // Detects the return of the store as early as possible.
     }
     if (state.inventory.own_rank >= followers_per_region) {
-        return std::chrono::milliseconds{0}; // The confirmation is wanted now.
+        return std::chrono::milliseconds{
+            0}; // A standby that takes over needs a confirmation at once.
     }
     if (kind == inventory_kind::hosts) {
         return longest_follow_wait;
@@ -66,8 +68,8 @@
     const auto [place, followers] = place_among_followers(state);
     const auto whole = std::clamp(follow_interval * static_cast<int>(followers),
                                   shortest_follow_wait, longest_wait(kind));
-    // News end the questions of all followers at once, so the first wait after them is of another
-    // length at each, and the answers without news that follow are spread.
+    // A change completes the long polls of all followers at the same time, so the first wait after
+    // it differs between them and the later answers without changes are spread over time.
     return list_of(state.inventory, kind).had_news
                ? whole * static_cast<int>(place + 1) / static_cast<int>(followers)
                : whole;
@@ -112,7 +114,7 @@
     const auto away_ms = std::chrono::duration_cast<std::chrono::milliseconds>(away).count();
     decide(state, out, e.wall,
            {answers ? "store_answers" : "store_away",
-            "what is known stays in force while the store is away",
+            "the known state stays in force while the store does not answer",
             answers ? "The store answers." : "The store does not answer.",
             {},
             {{"away_ms", std::to_string(away_ms)}, {"why", why}}});
@@ -133,8 +135,8 @@
     note_store(state, e, false, problem.detail, out);
 }
 
-/// The revision of the latest change on a page. The store's own revision grows with changes of
-/// all kinds, so to peers that have read the same changes it would look like news.
+/// The revision of the latest change on a page. The store's own revision grows with changes of all
+/// lists, so peers that have read the same changes would take it for a newer list.
 store_revision latest_change(const inventory_page& page)
 {
     store_revision latest;
@@ -160,15 +162,15 @@
     return std::chrono::milliseconds{0};
 }
 
-/// Takes in a page of a list that is read whole. What the list is known up to changes only with its
-/// last page: until then neither this host nor a peer may rely on it.
+/// Applies a page of a list that is being read completely. The list's revision changes only with
+/// its last page: until then neither this host nor a peer may rely on the list.
 void take_list_page(control_state& state, const event& e, const inventory_question& question,
                     const inventory_page& page, effects& out)
 {
     auto& list = list_of(state.inventory, question.kind);
     list.next_call = e.now;
     if (question.after.empty()) {
-        list.read_at = page.at; // Changes made while the pages are read come again.
+        list.read_at = page.at; // Changes made while the pages are read are read again.
         list.read_changed = {};
         list.seen.clear();
     }
@@ -188,14 +190,14 @@
     list.had_news = true;
     list.at = list.read_at;
     list.confirmed = list.asked_at;
-    // Deletions do not show in a list; changes after its first page are not known yet.
+    // A list does not show deletions, and changes after its first page are not known yet.
     const auto changed = has_dropped ? list.at : std::min(list.read_changed, list.at);
     if (changed > list.changed) {
         list.changed = changed;
         forget_changes(state.inventory, question.kind, list.changed);
     }
     list.changed = std::max(list.changed, known_empty);
-    announce(state, out); // Peers may lack the same changes without a sign.
+    announce(state, out); // Peers may lack the same changes without noticing.
     state.inventory.repeats_announcement = true;
 }
 
@@ -249,7 +251,7 @@
     }
 }
 
-/// Hosts are replaced every day, so their entries must not pile up.
+/// Hosts are replaced daily, so the entries of dead ones must not accumulate in the store.
 void remove_long_dead(control_state& state, const event& e, effects& out)
 {
     if (state.inventory.own_rank != 0 || !state.fleet.platform_reachable) {
@@ -303,7 +305,7 @@
 {
     auto& list = list_of(state.inventory, read.question.kind);
     if (read.question.number != list.call || !list.call_running) {
-        return; // A peer's copy has overtaken it, or a second question was asked in its place.
+        return; // Superseded by a peer's copy or by a later query.
     }
     list.call_running = false;
     if (succeeded(read.page)) {
--- a/source/control/membership.cpp
+++ b/source/control/membership.cpp
@@ -14,30 +14,30 @@
 constexpr std::size_t max_near_beats = 5;
 constexpr std::size_t max_far_beats = 5;
 static_assert(1 + max_near_beats + max_far_beats <= max_beats_per_message);
-/// Regions with more hosts than this are near by failure domains only.
+/// In regions with more hosts only those of the same failure domain are near.
 constexpr std::size_t max_hosts_of_near_region = 6;
-/// News go to all hosts at once in fleets up to this size, in larger ones to the near hosts.
+/// Announcements go to all hosts in fleets up to this size, to the near hosts in larger ones.
 constexpr std::size_t max_hosts_told_at_once = 24;
 constexpr std::size_t max_messages_per_tick = 3;
-/// More than the largest message, which could otherwise never be paid for.
+/// Must exceed the size of the largest message, which could otherwise never be sent.
 constexpr double max_gossip_credit = 2.0 * max_datagram_bytes;
 constexpr std::chrono::seconds death_news_time{60};
-/// Deaths as young as this go before other beats.
+/// Deaths more recent than this take precedence over other heartbeats.
 constexpr std::chrono::seconds urgent_news_time{10};
 constexpr std::size_t hosts_told_of_death_elsewhere = 4;
 constexpr std::chrono::milliseconds no_patience{0};
-/// Every third message leaves the failure domain.
+/// One message in three goes to another failure domain.
 constexpr std::uint64_t far_turn = 3;
-/// What a message takes besides its beats: signature, header, time, generation, fingerprint and
-/// the headers of IP and UDP.
+/// Size of a message without heartbeats: signature, header, time, generation, fingerprint and the
+/// IP and UDP headers.
 constexpr std::size_t bytes_per_message = 150;
-/// What a beat takes besides its host's name.
+/// Size of a heartbeat without the host's name.
 constexpr std::size_t bytes_per_beat = 19;
 
 using domain_set = std::set<failure_domain_id>;
 
-/// The failure domains whose hosts are heard directly: the own one, and all of a small region,
-/// since look-up answers name all its hosts.
+/// The failure domains whose hosts send gossip to each other directly: this host's own and, in a
+/// small region, all of the region, since look-up answers list all its hosts.
 domain_set near_domains(const control_state& state)
 {
     const auto& text = state.fleet.text;
@@ -63,7 +63,7 @@
     return found != state.fleet.text.hosts.end() && near.contains(found->second.domain);
 }
 
-/// The hosts in these failure domains, this one included if the fleet lists it.
+/// The number of hosts in these failure domains, including this one if the fleet lists it.
 std::size_t count_hosts(const control_state& state, const domain_set& near)
 {
     return static_cast<std::size_t>(
@@ -93,8 +93,9 @@
     }
 }
 
-/// Within the own domain only its hosts and recent deaths matter, which keeps those messages small
-/// and frequent. Messages to other domains carry what else is known too, as far as it fits.
+/// Messages to near hosts carry only the heartbeats of near hosts and recent deaths, so that they
+/// are small and frequent. Messages to other domains also carry those of far hosts, as far as they
+/// fit.
 void add_beats(control_state& state, const domain_set& near_domains, bool to_near,
                gossip_message& message)
 {
@@ -102,7 +103,8 @@
     std::vector<const member_entry*> near;
     std::vector<const member_entry*> far;
     for (const auto& entry : state.membership.members) {
-        // A death is news for a while: other domains would notice it much later by themselves.
+        // Deaths are gossiped for a while: other domains would detect them much later by
+        // themselves.
         const bool is_news =
             entry.second.death_is_told && now - entry.second.died < death_news_time;
         if (entry.second.alive || is_news) {
@@ -139,7 +141,7 @@
     return bytes;
 }
 
-/// Sends one message to a random peer, if the budget has room for it.
+/// Sends a message to a random peer if the bandwidth budget permits.
 bool send_one(control_state& state, const domain_set& near_domains, bool near, effects& out)
 {
     auto peers = gossip_peers(state, near_domains, near);
@@ -158,7 +160,7 @@
     return true;
 }
 
-/// Sends what the budget allows, in turns: most of it within the own failure domain.
+/// Sends as many messages as the bandwidth budget permits, most of them within the failure domain.
 void send_gossip(control_state& state, const domain_set& near_domains,
                  std::chrono::duration<double> passed, effects& out)
 {
@@ -174,7 +176,7 @@
     }
 }
 
-/// Claims go by who is alive, so without shared targets the change is in force at once.
+/// Claims depend on the set of live hosts, so without shared targets a change takes effect at once.
 void note_hosts_changed(control_state& state)
 {
     (state.self.has_inventory ? state.hosts_changed : state.snapshot_is_stale) = true;
@@ -190,8 +192,8 @@
     state.membership.last_change =
         decide(state, out, e.wall,
                {"host_dead",
-                "a host without a newer beat for the timeout is taken for dead",
-                "Host " + id.value + " is taken for dead and leaves the look-up answers.",
+                "a host without a newer heartbeat within the timeout is declared dead",
+                "Host " + id.value + " is declared dead and removed from look-up answers.",
                 {},
                 {{"host", id.value},
                  {"silence_ms", std::to_string(silence.count())},
@@ -206,15 +208,15 @@
     state.membership.last_change =
         decide(state, out, e.wall,
                {"host_alive",
-                "a host with a newer beat is alive",
+                "a host with a newer heartbeat is alive",
                 "Host " + beat.id.value + what + (beat.leaving ? " and is leaving." : "."),
                 {},
                 {{"host", beat.id.value}, {"incarnation", std::to_string(beat.life.value)}}});
 }
 
-/// A host that others take for dead is dead here too, unless a newer beat than theirs is known. One
-/// that was not heard of yet is noted, so that its older beats, which are still under way, count
-/// for nothing.
+/// Declares a host dead that another host reports as dead, unless a newer heartbeat is known. A
+/// host that is not known yet is recorded as dead, so that its older heartbeats, which may still
+/// arrive, are ignored.
 void take_death(control_state& state, const event& e, const member_beat& beat, effects& out)
 {
     auto [place, is_new] = state.membership.members.try_emplace(beat.id);
@@ -254,7 +256,7 @@
     }
 }
 
-/// While this process was paused nobody's beats could arrive, so the pause counts for nobody.
+/// While this process was paused it received no heartbeats, so the pause does not count as silence.
 void forgive_own_pause(membership_state& membership, monotonic_time now)
 {
     const auto gap = now - membership.last_tick;
@@ -267,12 +269,12 @@
     membership.last_tick = now;
 }
 
-/// Takes a neighbour that nobody has a sign of for dead, and tells the own failure domain and a few
-/// hosts of each other one, in which gossip does the rest.
+/// Declares a neighbour dead after an unrefuted suspicion. Tells the failure domain and a few hosts
+/// of each other domain, where gossip spreads it further.
 void bury(control_state& state, const event& e, const host_id& id, effects& out)
 {
     auto& m = state.membership.members.at(id);
-    // Others may know later beats of it than this host; it cannot have sent more than these.
+    // Others may know later heartbeats than this host; this is the most it can have sent since.
     m.beat += static_cast<std::uint64_t>((e.now - m.last_advance) / tick_interval);
     state.membership.probed.erase(id);
     mark_dead(state, e, id, m, out);
@@ -286,7 +288,8 @@
         if (other != state.self.host && other != id && !is_enough) {
             ++told[h.domain];
             out.emplace_back(send_gossip_effect{h.peers, message});
-            out.emplace_back(send_gossip_effect{h.peers, message}); // One may get lost.
+            out.emplace_back(
+                send_gossip_effect{h.peers, message}); // Sent twice, since datagrams get lost.
         }
     }
 }
@@ -310,8 +313,9 @@
     }
     message.inventory = revisions_of(state.inventory);
     message.confirmed = confirmation_ages(state, state.now);
-    // Where hosts are told to callers as soon as they are heard of, one that does not serve yet
-    // must not be. Elsewhere it counts from its first beat, since claims go by who is there.
+    // With an inventory, callers are sent to hosts as soon as these are alive, so a host that does
+    // not serve yet must say so. Without one, a host counts from its first heartbeat, since claims
+    // depend on the set of live hosts.
     const bool is_early = state.self.has_inventory && state.stage == life_stage::starting;
     const bool leaving = state.stage == life_stage::leaving || state.stage == life_stage::ending;
     message.beats.push_back(
@@ -377,7 +381,7 @@
     const auto home = region_of(text, state.self.domain);
     const auto domains = near_domains(state);
     for (const auto& [id, h] : text.hosts) {
-        // The hosts of a region rely on its followers of the store.
+        // The hosts of a region depend on its store followers for changes.
         const bool is_told = to_all || domains.contains(h.domain) ||
                              (state.self.has_inventory && region_of(text, h.domain) == home);
         if (id != state.self.host && is_told) {
--- a/source/control/membership.h
+++ b/source/control/membership.h
@@ -4,11 +4,11 @@
 #include "control/event.h"
 #include "control/state.h"
 
-/// Who is alive, by beat counters passed on between hosts.
+/// Failure detection by heartbeat counters that hosts spread by gossip.
 namespace almondquay {
 
-/// A host of the own failure domain is taken for dead after this time without a newer beat. The
-/// budget for gossip is fixed, so beats of larger domains come less often.
+/// A host of the same failure domain is declared dead after this time without a newer heartbeat.
+/// The gossip budget is fixed, so heartbeats arrive less often in larger domains.
 constexpr std::chrono::milliseconds near_timeout(std::size_t hosts_in_domain)
 {
     constexpr std::chrono::milliseconds shortest{2'000};
@@ -16,7 +16,7 @@
     return shortest + for_each_host * hosts_in_domain;
 }
 
-/// The same for hosts of other failure domains, whose beats travel over more hosts.
+/// The same for hosts of other failure domains, whose heartbeats pass through more hosts.
 constexpr std::chrono::milliseconds far_timeout(std::size_t hosts_in_fleet)
 {
     constexpr std::chrono::milliseconds shortest{1'000};
@@ -24,29 +24,30 @@
     return shortest + for_each_host * hosts_in_fleet;
 }
 
-/// Two ticks further apart mean that this process was paused, not that all others are dead.
+/// A larger gap between two ticks means that this process was paused, not that all others are dead.
 constexpr std::chrono::milliseconds pause_threshold{1'000};
 
-/// What a host sends in gossip, headers included; it receives as much on average. Together with
-/// the rest of the control traffic this stays below 2 KB/s at any size of the fleet.
+/// Gossip bandwidth that a host sends, headers included; it receives the same on average. Together
+/// with the rest of the control traffic this stays below 2 KB/s for any fleet size.
 constexpr double gossip_bytes_per_second = 800;
 
-/// Counts the own beat, marks silent hosts as dead and sends gossip.
+/// Increments the host's own heartbeat, declares silent hosts dead and sends gossip.
 void tick_membership(control_state& state, const event& e, effects& out);
 
-/// Takes over newer beats and notices a newer configuration.
+/// Merges newer heartbeats and fetches what the sender has newer, such as its configuration.
 void take_gossip(control_state& state, const event& e, const gossip_message& message, effects& out);
 
-/// Tells the near hosts, or all hosts of a small fleet, what is in force and known, at once.
+/// Sends the host's generation, inventory revisions and latest changes immediately to the near
+/// hosts or, in a small fleet, to all hosts.
 void announce(control_state& state, effects& out);
 
-/// What this host tells of itself: what it has, and its own beat.
+/// A gossip message with the host's generation, inventory revisions and own heartbeat.
 gossip_message make_message(const control_state& state);
 
-/// Tells these hosts what is in force and known.
+/// Sends the host's generation and inventory revisions to the given hosts.
 void tell(control_state& state, const std::vector<const host*>& hosts, effects& out);
 
-/// Live hosts that are not leaving, this one included while it serves.
+/// Live hosts that are neither starting nor leaving, including this one while it serves.
 std::set<host_id> live_hosts(const control_state& state);
 
 } // namespace almondquay
--- a/source/control/peer_inventory.cpp
+++ b/source/control/peer_inventory.cpp
@@ -14,13 +14,13 @@
 
 using std::chrono::milliseconds;
 
-/// While a host starts it asks peers this often.
+/// Interval between queries to peers while a host starts.
 constexpr milliseconds starting_question_pause{400};
 constexpr std::array asked_of_peers{inventory_kind::targets, inventory_kind::evacuations,
                                     inventory_kind::hosts};
-/// Wall and steady clock drift apart by less than this between two ticks.
+/// The wall clock and the steady clock drift apart by less than this between two ticks.
 constexpr milliseconds tolerated_drift{500};
-/// More than any revision: the peer sends nothing of that list.
+/// Higher than any revision, so that the peer sends nothing of that list.
 const store_revision all_known{std::numeric_limits<std::uint64_t>::max()};
 
 milliseconds time_left(monotonic_time until, monotonic_time now)
@@ -41,7 +41,7 @@
     copy.targets.push_back(std::move(entry));
 }
 
-/// Adds what is known of one name now.
+/// Adds the current state of one entry.
 void add_entry(const control_state& state, inventory_kind kind, const std::string& name,
                monotonic_time now, inventory_copy& copy)
 {
@@ -82,7 +82,7 @@
     return names;
 }
 
-/// Whether a copy brings the list forward without leaving out changes in between.
+/// Whether a copy of a list is newer than the local one and has no gap of changes before it.
 bool is_news(const inventory_list& list, const inventory_copy& copy, std::size_t i)
 {
     const bool is_whole = copy.since.at(i).value == 0;
@@ -152,7 +152,7 @@
     list.is_complete = true;
     list.behind_since = {};
     if (is_whole) {
-        list.is_following = false; // The store's own list replaces the copy once it can be read.
+        list.is_following = false; // The list is read from the store again once possible.
         list.page_after.clear();
         list.seen.clear();
         forget_changes(state.inventory, kind, list.at);
@@ -201,7 +201,7 @@
     }
 }
 
-/// Mostly a host of the own region, so that many hosts that start spread over all that can help.
+/// A random host, mostly of the same region, so that the queries of many starting hosts are spread.
 const endpoint* random_peer(control_state& state)
 {
     constexpr std::uint64_t far_turn = 4;
@@ -220,13 +220,13 @@
     return peers.empty() ? nullptr : peers[state.random() % peers.size()];
 }
 
-/// Whether this host followed the store at its latest tick.
+/// Whether this host was a follower of the store at its latest tick.
 bool follows(const control_state& state)
 {
     return state.inventory.own_rank < followers_per_region;
 }
 
-/// Whether this host reads the lists from the store at the moment.
+/// Whether this host is currently reading the lists from the store.
 bool reads_lists(const control_state& state)
 {
     return follows(state) && std::ranges::all_of(asked_of_peers, [&](const auto kind) {
--- a/source/control/probing.cpp
+++ b/source/control/probing.cpp
@@ -12,7 +12,7 @@
 
 std::uint64_t ring_place(const host_id& id)
 {
-    constexpr std::uint64_t seed = 0x52494e47; // Unlike that of other rankings.
+    constexpr std::uint64_t seed = 0x52494e47; // Gives an order unlike that of other rankings.
     return XXH3_64bits_withSeed(id.value.data(), id.value.size(), seed);
 }
 
@@ -22,7 +22,8 @@
     return found != state.membership.members.end() && !found->second.alive;
 }
 
-/// The other hosts of the failure domain that are not dead, from the next one in the ring on.
+/// The other hosts of the failure domain that are not dead, in ring order from this host's
+/// successor.
 std::vector<const host*> neighbours(const control_state& state)
 {
     const auto own = ring_place(state.self.host);
@@ -56,7 +57,7 @@
     out.emplace_back(send_gossip_effect{neighbour.peers, std::move(message)});
 }
 
-/// Asks a few others about a silent neighbour.
+/// Asks a few other hosts to ping a silent neighbour (SWIM's indirect probe).
 void ask_to_refute(control_state& state, const host& silent, const std::vector<const host*>& ring,
                    effects& out)
 {
@@ -73,7 +74,7 @@
     }
 }
 
-/// Forgets neighbours that are not asked any more.
+/// Drops the state of neighbours that are no longer pinged.
 void keep_only(std::map<host_id, probed_host>& probed, const std::set<host_id>& asked)
 {
     std::erase_if(probed, [&](const auto& entry) { return !asked.contains(entry.first); });
@@ -126,7 +127,7 @@
             ask_for_sign(state, *h, out);
         }
         if (!state.membership.members.contains(h->id)) {
-            continue; // Never heard of: it may not have started yet.
+            continue; // No heartbeat received yet: it may not have started.
         }
         const auto silence = now - p.silent_since;
         const bool is_suspected = p.suspected_at != monotonic_time{};
--- a/source/control/quarantine.cpp
+++ b/source/control/quarantine.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// Hosts that were not heard of yet are told as well.
+/// Hosts whose heartbeat was never received are notified too.
 bool is_told(const control_state& state, const host_id& id)
 {
     const auto peer = state.membership.members.find(id);
@@ -17,13 +17,13 @@
     return id != state.self.host && !is_dead;
 }
 
-/// Whether crashes are told to the followers of the store only.
+/// Whether crash evidence is sent only to the followers of the store.
 bool collects_at_followers(const control_state& state)
 {
     return state.self.has_inventory && state.fleet.text.hosts.size() > max_hosts_told_of_each_crash;
 }
 
-/// Whether this host is told of crashes everywhere.
+/// Whether this host receives the crash evidence of all hosts.
 bool hears_all_evidence(const control_state& state)
 {
     return !collects_at_followers(state) || state.inventory.own_rank < followers_per_region;
@@ -46,9 +46,10 @@
     }
 }
 
-/// Tells others of a request that this host has named, if they are not told of its crashes. The
-/// first follower of each region tells all hosts and the second one those of its own region, so
-/// that each host is told several times and the loss of one follower leaves nobody out.
+/// Sends the evidence against a request that this host has quarantined to hosts that do not receive
+/// crash evidence themselves. The first follower of each region sends to all hosts and the second
+/// one to those of its own region, so that every host is told several times and the loss of one
+/// follower leaves none out.
 void tell_named(const control_state& state, request_fingerprint fingerprint, const suspect& s,
                 effects& out)
 {
@@ -69,8 +70,8 @@
     }
 }
 
-/// Whether another suspect was in flight at as many of the same crashes: then neither is named
-/// until a further crash tells them apart.
+/// Whether another suspect was in flight at as many of the same crashes. Neither is quarantined
+/// then until a further crash distinguishes them.
 bool is_ambiguous(const control_state& state, request_fingerprint fingerprint, const suspect& s)
 {
     return std::ranges::any_of(state.suspects, [&](const auto& entry) {
@@ -91,8 +92,8 @@
     return text;
 }
 
-/// Whether the evidence points at this request. All that were in flight at a crash report it at
-/// about the same time, so the latest evidence must have settled.
+/// Whether the evidence identifies this request as the cause. The evidence about all requests in
+/// flight at a crash arrives at about the same time, so the latest must be `evidence_settles` old.
 bool is_named(const control_state& state, const event& e, request_fingerprint fingerprint,
               const suspect& s)
 {
@@ -129,7 +130,7 @@
     decide(state, out, e.wall,
            {"release_request",
             rule,
-            "Request " + found->second.description + " is taken again.",
+            "Request " + found->second.description + " is accepted again.",
             {found->second.decided_by},
             {{"fingerprint", std::to_string(fingerprint)}}});
     state.quarantined.erase(found);
@@ -143,7 +144,7 @@
 {
     const auto fingerprint = evidence.what.fingerprint;
     if (!evidence.from_peer && !hears_all_evidence(state)) {
-        // Without the evidence of other hosts this one could name the wrong request.
+        // Without the evidence of other hosts this one could identify the wrong request.
         if (state.fleet.text.targets.contains(evidence.what.target)) {
             pass_on(state, evidence.what, out);
         }
@@ -172,7 +173,7 @@
                      effects& out)
 {
     state.suspects.erase(released.fingerprint);
-    end_quarantine(state, e, released.fingerprint, "an operator releases a request", out);
+    end_quarantine(state, e, released.fingerprint, "an operator released the request", out);
 }
 
 void tick_quarantine(control_state& state, const event& e, effects& out)
@@ -192,7 +193,7 @@
         }
     }
     for (const auto fingerprint : over) {
-        end_quarantine(state, e, fingerprint, "a quarantine ends after its time", out);
+        end_quarantine(state, e, fingerprint, "a quarantine ends after a fixed time", out);
     }
 }
 
--- a/source/control/reducer.cpp
+++ b/source/control/reducer.cpp
@@ -29,13 +29,14 @@
     state.stage = life_stage::leaving;
     state.leave_deadline = e.now + grace;
     state.snapshot_is_stale = true;
-    state.stop_decision = decide(state, out, e.wall,
-                                 {"leave",
-                                  "a stopping host serves until callers have forgotten its address",
-                                  "This host leaves: it vanishes from look-ups and still serves.",
-                                  {},
-                                  {{"grace_ms", std::to_string(grace.count())}}});
-    ++state.membership.own_beat; // Peers that have the latest beat already must take this as news.
+    state.stop_decision =
+        decide(state, out, e.wall,
+               {"leave",
+                "a stopping host serves until the look-up answers that list it have expired",
+                "This host is leaving: it is removed from look-up answers and still serves.",
+                {},
+                {{"grace_ms", std::to_string(grace.count())}}});
+    ++state.membership.own_beat; // Peers ignore a message whose heartbeat they already know.
     announce(state, out);
 }
 
@@ -45,8 +46,8 @@
         state.stage = life_stage::ending;
         decide(state, out, e.wall,
                {"stop_traffic",
-                "after the grace no new request is taken",
-                "This host takes no new requests and ends the running ones.",
+                "after the grace period no new requests are accepted",
+                "This host accepts no new requests and completes the running ones.",
                 {state.stop_decision},
                 {}});
         out.emplace_back(stop_traffic_effect{});
@@ -57,7 +58,7 @@
 {
     decide(state, out, e.wall,
            {"exit",
-            "a host exits once its last request has ended",
+            "a host exits once its last request has completed",
             "This host exits.",
             {state.stop_decision},
             {}});
@@ -116,7 +117,7 @@
             [&](const claim_event& body) { take_claim_event(state, e, body, out); },
         },
         e.body);
-    // Hosts of a large fleet come and go many a second, and each snapshot is built whole.
+    // In a large fleet many hosts change per second, and every snapshot is built from scratch.
     const bool is_tick = std::holds_alternative<tick_event>(e.body);
     if (state.snapshot_is_stale || (state.hosts_changed && is_tick)) {
         state.snapshot_is_stale = false;
--- a/source/control/reducer.h
+++ b/source/control/reducer.h
@@ -6,18 +6,18 @@
 
 namespace almondquay {
 
-/// After a stop is requested, callers may still use look-up answers for their time to live; this
-/// much is added for answers under way.
+/// After a stop is requested, callers may use cached look-up answers until their TTL expires; this
+/// margin covers answers that are still in transit.
 constexpr std::chrono::milliseconds leave_margin{500};
-/// Of a bounded grace this part may pass before new requests are refused; the rest is for the
-/// running ones.
+/// If the stop has a time limit, at most this fraction (one half) passes before new requests are
+/// refused; the rest is for the running ones.
 constexpr int leave_part = 2;
 
-/// A fresh state. `seed` makes every random choice repeatable.
+/// Creates the initial state. `seed` makes all random choices reproducible.
 control_state make_control_state(host_identity self, std::uint64_t seed);
 
-/// The one place where control state changes: takes an event and returns what is to be done.
-/// Reads no clock and does no input or output.
+/// The only function that changes control state: applies an event and returns the resulting
+/// effects. It reads no clock and performs no I/O.
 effects reduce(control_state& state, const event& e);
 
 } // namespace almondquay
--- a/source/control/snapshot_builder.cpp
+++ b/source/control/snapshot_builder.cpp
@@ -23,7 +23,7 @@
     return world;
 }
 
-/// The place of this host among all hosts of its domain that the text lists, dead or alive.
+/// The position of this host among all configured hosts of its failure domain, dead or alive.
 struct host_position {
     std::size_t position = 0;
     std::size_t hosts = 0;
@@ -50,7 +50,7 @@
     return route;
 }
 
-/// Every host uses every registered target; how much is decided request by request.
+/// Every host may use every registered target; their load is balanced per request.
 void add_shared_targets(const control_state& state, const world_view& world,
                         routing_snapshot& snapshot)
 {
@@ -78,7 +78,7 @@
     }
 }
 
-/// Callers of a region are told its live hosts, or all live ones if it has none.
+/// Callers of a region are given its live hosts, or all live hosts if the region has none.
 void add_entry_hosts(const control_state& state, const world_view& world,
                      routing_snapshot& snapshot)
 {
@@ -98,8 +98,8 @@
     }
 }
 
-/// Adds the targets of the own failure domain to their services. Each target's slots start at the
-/// host where those of the service's target before it ended.
+/// Adds the targets of this host's failure domain to their services. The hosts that get
+/// one slot more than others continue from target to target, so the hosts' totals stay balanced.
 void add_targets(const control_state& state, const world_view& world, routing_snapshot& snapshot)
 {
     const auto place = position_of(state);
@@ -113,8 +113,8 @@
     }
 }
 
-/// The parts of grants depend on the text alone, like those of slots: whoever is alive or cut off,
-/// all hosts together never exceed what was granted.
+/// Shares of grants, like those of slots, depend on the configuration alone: whichever hosts are
+/// dead or partitioned, all hosts together never exceed the grant.
 void add_spill(const control_state& state, const place_index& places, const grant& g,
                routing_snapshot& snapshot)
 {
--- a/source/control/snapshot_builder.h
+++ b/source/control/snapshot_builder.h
@@ -5,7 +5,7 @@
 
 namespace almondquay {
 
-/// The traffic threads' view of the present control state.
+/// Builds the routing snapshot of the current control state for the traffic threads.
 snapshot_ptr build_snapshot(const control_state& state);
 
 } // namespace almondquay
--- a/source/control/status.h
+++ b/source/control/status.h
@@ -5,7 +5,7 @@
 
 namespace almondquay {
 
-/// What this host tells operators; counts of running requests are filled in by the caller.
+/// The host's status for operators; the calling function fills in the counts of running requests.
 host_status make_status(const control_state& state);
 
 } // namespace almondquay
--- a/source/control/store_followers.cpp
+++ b/source/control/store_followers.cpp
@@ -22,7 +22,7 @@
     }
     const auto found = state.membership.members.find(id);
     if (found == state.membership.members.end()) {
-        // Beats of far hosts take as long as their deaths.
+        // The first heartbeat of a far host may take as long as its timeout.
         return now - state.started < far_timeout(state.inventory.hosts.size());
     }
     return found->second.alive && !found->second.leaving;
@@ -31,7 +31,7 @@
 struct candidate {
     const host* who = nullptr;
     std::uint64_t hash = 0;
-    std::size_t place_in_domain = 0; ///< 0: the best of its failure domain
+    std::size_t place_in_domain = 0; ///< 0 for the first of its failure domain
 };
 
 region_id region_in(const control_state& state, const failure_domain_id& domain)
@@ -40,7 +40,7 @@
     return found == state.self.domains.end() ? region_id{} : found->second;
 }
 
-/// The live hosts of a region, first those that are the best of their failure domain.
+/// The live hosts of a region by rank, the first of every failure domain before any second one.
 std::vector<candidate> ranked(const control_state& state, const region_id& region,
                               monotonic_time now)
 {
@@ -76,7 +76,7 @@
     return regions;
 }
 
-/// How old a confirmation may be before the first heir asks the store itself.
+/// How old a confirmation may become before the first standby queries the store itself.
 std::chrono::milliseconds takeover_age(const control_state& state, inventory_kind kind)
 {
     switch (kind) {
--- a/source/control/target_health.cpp
+++ b/source/control/target_health.cpp
@@ -34,8 +34,8 @@
     health.decided_by =
         decide(state, out, e.wall,
                {"eject_target",
-                "a target that failed several times in a row gets no work",
-                "Target " + report.target.value + " gets no work until probes succeed.",
+                "a target is ejected after several consecutive failures",
+                "Target " + report.target.value + " is sent no requests until probes succeed.",
                 {state.fleet.adopted_by},
                 {{"target", report.target.value},
                  {"failures", std::to_string(health.failures)},
@@ -48,7 +48,7 @@
     health.usable = true;
     health.failures = 0;
     state.snapshot_is_stale = true;
-    // It may have restarted meanwhile, and a restarted target is cold.
+    // It may have restarted in the meantime, and a restarted target is cold.
     if (const auto listed = state.inventory.targets.find(id);
         listed != state.inventory.targets.end()) {
         const auto s = state.fleet.text.services.find(listed->second.entry.what.serves);
@@ -60,8 +60,8 @@
     health.decided_by =
         decide(state, out, e.wall,
                {"readmit_target",
-                "an ejected target that answers several probes gets work again",
-                "Target " + id.value + " gets work again.",
+                "an ejected target is readmitted after several successful probes",
+                "Target " + id.value + " is sent requests again.",
                 {health.decided_by},
                 {{"target", id.value}, {"good_probes", std::to_string(health.good_probes)}}});
 }
--- a/source/control/target_health.h
+++ b/source/control/target_health.h
@@ -4,12 +4,13 @@
 #include "control/event.h"
 #include "control/state.h"
 
-/// Which targets get work: evidence from real requests first, probes to come back.
+/// Outlier detection: targets are ejected by the failures of real requests and readmitted by
+/// probes.
 namespace almondquay {
 
-/// Failures in a row after which a target gets no work.
+/// Consecutive failures after which a target is ejected.
 constexpr unsigned failures_to_eject = 3;
-/// Good probes in a row after which an ejected target gets work again.
+/// Consecutive successful probes after which an ejected target is readmitted.
 constexpr unsigned probes_to_return = 2;
 constexpr std::chrono::milliseconds probe_interval{500};
 
@@ -17,12 +18,13 @@
                         effects& out);
 void take_probe(control_state& state, const event& e, const probe_ended_event& probe, effects& out);
 
-/// Starts due probes of ejected targets of the own failure domain.
+/// Starts the probes of ejected targets that are due.
 void tick_health(control_state& state, const event& e, effects& out);
 
-/// Targets that get no work: those that take no connections, those that lose answers, and those
-/// that others were refused by. If more than half of a service's targets in the domain are of the
-/// latter two kinds at once, the measurement is distrusted instead.
+/// Targets that are sent no requests: ejected ones that accept no connections, ejected ones that
+/// lose answers, and ones that recently refused a connection of this or another host of the region.
+/// If more than half of a service's targets fall into the latter two groups at once, the
+/// observation is taken to be wrong and these targets stay in use.
 std::set<target_id> dead_targets(const control_state& state);
 
 } // namespace almondquay
--- a/source/control/unreachable_targets.cpp
+++ b/source/control/unreachable_targets.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// Returns whether the target was not left out before.
+/// Excludes a target for `unreachable_time`. Returns whether it was not excluded before.
 bool leave_out(control_state& state, const event& e, const target_id& id, const host_id& told_by,
                effects& out)
 {
@@ -20,8 +20,9 @@
     state.snapshot_is_stale = true;
     decide(state, out, e.wall,
            {"leave_out_target",
-            "a target that refused a connection of a host of the region gets no work for a while",
-            "Target " + id.value + " refused a connection and is left out.",
+            "a target that refused a connection from a host of the region is excluded for a fixed "
+            "time",
+            "Target " + id.value + " refused a connection and is excluded.",
             {},
             {{"target", id.value}, {"refused", told_by.value}}});
     return true;
@@ -49,7 +50,8 @@
 void note_refused_connection(control_state& state, const event& e, const target_id& id,
                              effects& out)
 {
-    // Where hosts have shares of the targets of their own failure domain, each finds out soon.
+    // Without an inventory each host has fixed shares of the targets of its domain and detects the
+    // failure soon by itself.
     if (state.self.has_inventory && leave_out(state, e, id, state.self.host, out)) {
         state.unreachable_news.insert(id);
     }
@@ -74,8 +76,8 @@
             state.snapshot_is_stale = true;
             decide(state, out, e.wall,
                    {"try_target_again",
-                    "a target is left out for a fixed time",
-                    "Target " + id.value + " may get work again.",
+                    "the exclusion of a target ends after a fixed time",
+                    "Target " + id.value + " may be sent requests again.",
                     {},
                     {{"target", id.value}}});
         }
--- a/source/control/unreachable_targets.h
+++ b/source/control/unreachable_targets.h
@@ -4,27 +4,28 @@
 #include "control/event.h"
 #include "control/state.h"
 
-/// Targets that refuse connections, told to the hosts of the region.
+/// Spreads the targets that refuse connections to the hosts of the region.
 ///
-/// In a large fleet each host sends a target a request every few seconds, so without word from
-/// others each one would find a dead target by failed requests of its own. A target that was told
-/// is left out for a while without probes; if it still refuses then, the first request tells.
+/// In a large fleet each host sends a given target a request only every few seconds, so without
+/// reports from others every host would detect a dead target by failed requests of its own. A
+/// reported target is excluded for a fixed time without probes; if it still refuses connections
+/// then, the first request shows it.
 namespace almondquay {
 
-/// How long a target is left out after a refused connection.
+/// How long a target is excluded after a refused connection.
 constexpr std::chrono::milliseconds unreachable_time{2'000};
-/// Further ones are told at the next tick.
+/// Further ones are sent at the next tick.
 constexpr std::size_t max_unreachable_per_message = 16;
 
-/// A connection of this host was refused.
+/// Excludes a target that refused a connection of this host and schedules the report to others.
 void note_refused_connection(control_state& state, const event& e, const target_id& id,
                              effects& out);
 
-/// Another host of the region was refused.
+/// Excludes the targets that another host of the region reported.
 void take_unreachable(control_state& state, const event& e, const gossip_message& message,
                       effects& out);
 
-/// Tells what was noted since the last tick, and takes targets back whose time is over.
+/// Reports the targets noted since the last tick, and ends exclusions that have expired.
 void tick_unreachable(control_state& state, const event& e, effects& out);
 
 } // namespace almondquay
