--- a/unit_tests/control/control_test.cpp
+++ b/unit_tests/control/control_test.cpp
@@ -218,8 +218,8 @@
         CPPUNIT_ASSERT(state.quarantined.empty());
     }
 
-    /// Request 8 was in flight at both crashes too, so neither is named; when it is served it is
-    /// cleared, and the other is named.
+    /// Request 8 was in flight at both crashes too, so neither request is quarantined. Once request
+    /// 8 is served it is cleared, and the other one is quarantined.
     void innocents_beside_it_are_not()
     {
         auto state = serving_state();
@@ -236,8 +236,8 @@
         CPPUNIT_ASSERT(state.quarantined.contains(7));
     }
 
-    /// Found by the process test configuration: the announcement carried a beat that peers had
-    /// already, so that they took no notice until a later one.
+    /// Guards against an announcement of a stop whose heartbeat peers already have: they would
+    /// ignore it and learn of the stop only from a later heartbeat.
     void a_stop_is_news_to_peers_at_once()
     {
         auto state = serving_state();
@@ -250,7 +250,7 @@
                 return;
             }
         }
-        CPPUNIT_FAIL("a stopping host tells its peers");
+        CPPUNIT_FAIL("a stopping host sent no gossip to its peers");
     }
 
     void a_stop_waits_until_callers_have_forgotten()
--- a/unit_tests/control/crash_evidence_test.cpp
+++ b/unit_tests/control/crash_evidence_test.cpp
@@ -13,7 +13,7 @@
 using std::chrono::seconds;
 
 constexpr seconds warm_up{10};
-/// From the third crash on, no host that others reach may send the request any more.
+/// From the third crash on, no host that others can reach may forward the request any more.
 constexpr seconds refused_within{3};
 constexpr request_fingerprint poison = 7;
 
@@ -36,7 +36,7 @@
     return {fingerprint, "s GET /x", target_id(target)};
 }
 
-/// The n-th host that does not follow the store.
+/// The n-th host that is not a follower of the store.
 host_id other_host(const store_world& world, std::size_t n)
 {
     const auto followers = world.followers();
@@ -74,8 +74,8 @@
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    /// Found at large trouble-1: targets that lost a quarter of their answers had every host tell
-    /// every other one of each, which took all processor time of the fleet for seconds.
+    /// Guards against a flood of evidence: when targets lost a quarter of their answers, every host
+    /// reported each loss to every other host, which took all CPU time of the fleet for seconds.
     void a_crash_is_told_to_few_hosts_of_a_large_fleet()
     {
         auto world = make_world();
@@ -110,8 +110,8 @@
         CPPUNIT_ASSERT(is_refused_everywhere(world, poison));
     }
 
-    /// Request 8 was in flight at both crashes too, each seen by one host; a third crash tells them
-    /// apart.
+    /// Request 8 was in flight at both crashes too, each observed by one host; a third crash
+    /// distinguishes the two requests.
     void innocents_beside_it_are_not_refused()
     {
         constexpr request_fingerprint innocent = 8;
--- a/unit_tests/control/fleet_matrix_test.cpp
+++ b/unit_tests/control/fleet_matrix_test.cpp
@@ -79,7 +79,7 @@
         expect_clean("one fault", total);
     }
 
-    /// The faults of places, which last, at every step of every other fault.
+    /// Every pair of faults, with the second at every fifth step after the first.
     void holds_under_pairs_of_faults()
     {
         matrix_total total;
--- a/unit_tests/control/fleet_world.cpp
+++ b/unit_tests/control/fleet_world.cpp
@@ -14,7 +14,7 @@
 using std::chrono::milliseconds;
 
 constexpr std::size_t host_count = 5;
-constexpr std::size_t hosts_in_a = 3; ///< one more than watch the platform
+constexpr std::size_t hosts_in_a = 3; ///< one more than there are watchers of the platform
 constexpr milliseconds message_delay{2};
 constexpr milliseconds call_timeout{1'000};
 constexpr milliseconds late_by{7'000};
@@ -68,7 +68,7 @@
     control_state state;
     std::uint64_t life = 0;
     milliseconds paused_until{};
-    generation highest; ///< that this life has had in force
+    generation highest; ///< highest generation that this incarnation has had in force
 };
 
 struct model {
@@ -185,7 +185,7 @@
     return found->second;
 }
 
-/// Carries something to its effect under the fault; `act` is run for each arrival.
+/// Delivers a message or call under the given fault; `act` runs once per delivery.
 void carry(model& m, fleet_fault fault, const std::function<void()>& act)
 {
     if (fault == fleet_fault::lost) {
@@ -265,8 +265,8 @@
 void perform(model& m, std::size_t host, const send_gossip_effect& e)
 {
     const auto peer = host_at(e.peer);
-    // Gossip repeats itself many times a second; a fault at each of its steps would only thin out
-    // the others, so gossip is lost and late by place (cuts, pauses) alone.
+    // Gossip messages are sent many times per second and are redundant. Counting each as a step
+    // would leave few faults for other steps, so gossip is affected only by partitions and pauses.
     at(m, m.now + message_delay, [&m, host, peer, message = e.message] {
         if (!is_cut(m, host, peer)) {
             deliver(m, peer, m.hosts[peer].life, gossip_event{message});
@@ -301,7 +301,8 @@
     auto& h = m.hosts[host];
     const auto now = h.state.fleet.envelope ? h.state.fleet.envelope->number : generation{};
     if (now < h.highest) {
-        m.report.violations.push_back("host " + std::string(names[host]) + " went back");
+        m.report.violations.push_back("host " + std::string(names[host]) +
+                                      " returned to a lower generation");
     }
     h.highest = now;
     bool everywhere = true;
@@ -356,7 +357,8 @@
     return highest;
 }
 
-/// What the operators' tool does: it refuses while the platform is behind what hosts have.
+/// Applies a change like the operator's tool, which refuses to while the platform has a lower
+/// generation than the hosts.
 void apply_change(model& m, const std::vector<drain_mark>& drains)
 {
     const bool is_down = m.now < m.platform_down_until;
@@ -381,15 +383,15 @@
         const auto& state = m.hosts[i].state;
         if (!state.fleet.envelope || state.fleet.envelope->number != m.accepted) {
             m.report.violations.push_back("host " + std::string(names[i]) +
-                                          " has not the accepted generation in force");
+                                          " does not have the accepted generation in force");
         }
         if (state.stage != life_stage::serving) {
             m.report.violations.push_back("host " + std::string(names[i]) + " does not serve");
         }
         for (const auto& [id, member] : state.membership.members) {
             if (!member.alive) {
-                m.report.violations.push_back("host " + std::string(names[i]) + " takes " +
-                                              id.value + " for dead");
+                m.report.violations.push_back("host " + std::string(names[i]) + " considers " +
+                                              id.value + " dead");
             }
         }
     }
--- a/unit_tests/control/fleet_world.h
+++ b/unit_tests/control/fleet_world.h
@@ -8,20 +8,20 @@
 #include <string>
 #include <vector>
 
-/// A small world for the whole reducer: two failure domains of three and two hosts and a
-/// platform that operators write to. Time is virtual and every run is repeatable.
+/// A deterministic simulation of the whole reducer in virtual time: two failure domains with three
+/// and two hosts, and a platform that operators write to.
 namespace almondquay {
 
 enum class fleet_fault {
     none,
     lost,              ///< the step's message or call is lost
-    late,              ///< it arrives long after
+    late,              ///< it arrives with a long delay
     twice,             ///< it arrives twice
-    host_paused,       ///< the step's host stops for a while, then goes on
-    host_replaced,     ///< the step's host dies and starts anew with nothing kept
-    platform_down,     ///< the platform answers nobody for a while
-    platform_restored, ///< the platform goes back to an older state
-    domain_cut,        ///< the step's failure domain reaches nobody else for a while
+    host_paused,       ///< the step's host is paused for a while
+    host_replaced,     ///< the step's host dies and restarts without any state
+    platform_down,     ///< the platform does not answer for a while
+    platform_restored, ///< the platform is restored to an older state
+    domain_cut,        ///< the step's failure domain is partitioned off for a while
     last = domain_cut,
 };
 
@@ -35,7 +35,7 @@
 };
 
 /// Starts the hosts, applies generations 1 to 3 and drains a target, under the planned faults.
-/// Checks after each event that no host goes back to a lower generation, and at the end that the
+/// Checks after each event that no host returns to a lower generation, and at the end that the
 /// highest accepted generation is in force everywhere.
 fleet_run_report run_fleet_scenario(const fleet_fault_plan& plan);
 
--- a/unit_tests/control/inventory_test.cpp
+++ b/unit_tests/control/inventory_test.cpp
@@ -43,10 +43,10 @@
     return f;
 }
 
-/// Among hosts of weight 1 a host of this weight follows the store.
+/// A host with this weight is a follower of the store if all others have weight 1.
 constexpr double follower_weight = 1e6;
 
-/// A host that follows the store: it is a seed, and listed with a great weight.
+/// A host that is a follower of the store: it is a seed, and listed with a high weight.
 control_state make_state(std::size_t n = 1)
 {
     host_identity self;
@@ -85,7 +85,7 @@
     return {"main", fleet_envelope{generation(number), "text", {}, "", "", 0}};
 }
 
-/// The question of this kind that the store has not answered yet.
+/// The query of this kind that the store has not answered yet.
 inventory_question question_of(const control_state& state, inventory_kind kind)
 {
     const auto& list = state.inventory.lists.at(static_cast<std::size_t>(kind));
@@ -108,8 +108,9 @@
 
 effects fail(control_state& state, milliseconds now, inventory_kind kind, result_code code)
 {
-    return reduce(state, at(now, inventory_read_event{question_of(state, kind),
-                                                      error{code, "the test says so"}}));
+    return reduce(state,
+                  at(now, inventory_read_event{question_of(state, kind),
+                                               error{code, "failure injected by the test"}}));
 }
 
 /// A host that has read all lists and serves.
@@ -204,8 +205,8 @@
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    /// Found at large trouble-1: ten hosts a second that restarted made every host build dozens of
-    /// whole snapshots a second.
+    /// Guards against a snapshot per membership change: ten host restarts per second made every
+    /// host build dozens of complete snapshots per second.
     void hosts_that_come_and_go_cost_one_snapshot_a_tick()
     {
         auto state = make_state();
@@ -252,8 +253,8 @@
         CPPUNIT_ASSERT(knows(state, "t1") && knows(state, "t2"));
     }
 
-    /// A fleet of 72 hosts in virtual time: a peer took a list of which its teller had read one
-    /// page of two, and missed 8 hosts for good.
+    /// Guards against sharing a partly read list: in a simulation of 72 hosts, a peer copied a list
+    /// of which the sender had read one page of two, and permanently lacked 8 hosts.
     void a_list_is_not_told_before_its_last_page()
     {
         auto state = serving_state({item_of(target_of("t1"))});
@@ -305,7 +306,7 @@
     {
         auto state = serving_state({item_of(target_of("t1")), item_of(target_of("t2"))});
         fail(state, seconds(2), inventory_kind::targets, result_code::platform_unavailable);
-        tick_until(state, milliseconds(5'500), seconds(6)); // Asks again.
+        tick_until(state, milliseconds(5'500), seconds(6)); // Queries again.
         fail(state, seconds(6), inventory_kind::targets, result_code::platform_history_lost);
         answer(state, seconds(6), inventory_kind::targets, {}, 40);
         CPPUNIT_ASSERT(knows(state, "t1") && knows(state, "t2"));
@@ -315,15 +316,15 @@
         CPPUNIT_ASSERT(knows(state, "t2"));
     }
 
-    /// vcb-quay trouble-1 --seed 935078102376: a deletion one second after the store's return was
-    /// held for another two seconds.
+    /// Guards against late removal: a deletion one second after the end of an outage took effect
+    /// only two seconds later.
     void deletions_after_an_outage_take_effect_within_the_drain_time()
     {
         constexpr seconds drain_time{2};
         auto state = serving_state({item_of(target_of("t"))});
         fail(state, seconds(2), inventory_kind::targets, result_code::platform_unavailable);
-        tick_until(state, milliseconds(5'500), seconds(6));         // Asks again.
-        answer(state, seconds(6), inventory_kind::targets, {}, 20); // The store has returned.
+        tick_until(state, milliseconds(5'500), seconds(6));         // Queries again.
+        answer(state, seconds(6), inventory_kind::targets, {}, 20); // The store is reachable again.
         const milliseconds deleted{7'100};
         tick_until(state, seconds(6), deleted);
         answer(state, deleted, inventory_kind::targets, {{"t", absent_entry{}}}, 21);
@@ -332,8 +333,8 @@
         CPPUNIT_ASSERT(!knows(state, "t"));
     }
 
-    /// scale-1 of both sites: after the store dropped its history some waiting questions were
-    /// neither answered nor cut.
+    /// Guards against lost long polls: after the store dropped its history, some of them were
+    /// neither answered nor closed.
     void a_silent_question_is_asked_anew_when_peers_are_ahead()
     {
         auto state = serving_state({item_of(target_of("t"))});
@@ -352,8 +353,8 @@
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{10}, next.since.value);
     }
 
-    /// The followers of one region: each waits a second or more, and together they confirm a list
-    /// before another host would take over.
+    /// Each follower of a region waits a second or more between queries, and together they confirm
+    /// a list before another host would take over.
     void followers_together_ask_often_and_each_one_seldom()
     {
         auto state = serving_state({});
@@ -374,8 +375,8 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, count<ask_inventory_effect>(asked));
     }
 
-    /// vcb-quay mix --seed 4612313020: a store that was silent from 15 to 19.5 s swallowed
-    /// questions that were to wait for 9 s, so targets that left at 22.5 s were used until 25 s.
+    /// Guards against long waits for lost queries: a store that was silent from 15 to 19.5 s lost
+    /// long polls with a timeout of 9 s, so targets that left at 22.5 s were used until 25 s.
     void a_question_lost_in_an_outage_is_over_soon_after_it()
     {
         constexpr seconds in_touch_after_outage{3};
@@ -400,8 +401,8 @@
         }
     }
 
-    /// kajubilet quiet-1: hosts asked 27 to 53 times about evacuations, of which there were none,
-    /// since the store's revision grows with every other list.
+    /// Guards against needless queries: hosts queried evacuations 27 to 53 times although there
+    /// were none, since the store's revision grows with changes of any list.
     void answers_without_changes_are_no_news_for_peers()
     {
         auto state = serving_state({item_of(target_of("t"))});
@@ -414,8 +415,9 @@
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{120}, revisions_of(state.inventory).at(kind).value);
     }
 
-    /// vcb-quay-grown quiet-1: 19 questions a host about evacuations, of which there were none.
-    /// Hosts that read the same change at different moments took each other's revisions for news.
+    /// Guards against needless queries: each host queried evacuations 19 times although there were
+    /// none, since hosts that had read the same change at different times took each other's
+    /// revisions for newer ones.
     void the_same_change_read_later_is_no_news_for_peers()
     {
         const auto kind = static_cast<std::size_t>(inventory_kind::targets);
@@ -424,7 +426,7 @@
         changed.revision = store_revision(15);
         answer(late, milliseconds(200), inventory_kind::targets, {changed}, 40);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{15}, revisions_of(late.inventory).at(kind).value);
-        tick_until(late, milliseconds(250), milliseconds(1'000)); // Asks again.
+        tick_until(late, milliseconds(250), milliseconds(1'000)); // Queries again.
         answer(late, milliseconds(1'200), inventory_kind::targets, {{"t", absent_entry{}}}, 50);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{50}, revisions_of(late.inventory).at(kind).value);
     }
@@ -464,14 +466,14 @@
         CPPUNIT_ASSERT(knows(state, "t"));
     }
 
-    /// kajubilet-grown scale-2: a host took a peer's copy that still named a target which the peer
-    /// itself was about to drop, and used it for 13 s after its entry had been deleted.
+    /// Guards against copying targets pending removal: a host copied a target that its peer was
+    /// about to remove, and used it for 13 s after its entry had been deleted.
     void a_copy_for_peers_leaves_out_deleted_targets_that_may_return()
     {
         auto peer = serving_state({item_of(target_of("t")), item_of(target_of("u"))}, 2);
         fail(peer, seconds(2), inventory_kind::evacuations, result_code::platform_unavailable);
         answer(peer, seconds(2), inventory_kind::targets, {{"t", absent_entry{}}}, 20);
-        CPPUNIT_ASSERT(knows(peer, "t")); // It has a moment to return.
+        CPPUNIT_ASSERT(knows(peer, "t")); // It may still register again.
 
         auto state = serving_state({item_of(target_of("t")), item_of(target_of("u"))});
         const auto copy = copy_of(peer, {}, monotonic_time(seconds(2)));
@@ -490,7 +492,7 @@
         copy.targets = {target_of("t"), target_of("deleted")};
         reduce(state, at(seconds(3), peer_inventory_event{"peer", copy}));
         CPPUNIT_ASSERT(knows(state, "deleted"));
-        tick_until(state, seconds(3), seconds(6)); // Asks again.
+        tick_until(state, seconds(3), seconds(6)); // Queries again.
         CPPUNIT_ASSERT(!question_of(state, inventory_kind::targets).follow);
         answer(state, seconds(6), inventory_kind::targets, {item_of(target_of("t"))}, 21);
         tick_until(state, seconds(6), seconds(6) + return_time + tick_interval);
@@ -498,8 +500,9 @@
         CPPUNIT_ASSERT(!knows(state, "deleted"));
     }
 
-    /// kajubilet-grown scale-2: a host whose path to the store was back at 13.2 s lost it again for
-    /// two seconds, since a question that was to wait had been asked before.
+    /// Guards against a long poll as the first query after a failure: a host whose path to the
+    /// store was restored at 13.2 s considered the store unreachable for two more seconds, since
+    /// its query had been sent before and was waiting.
     void the_first_question_after_a_failure_does_not_wait()
     {
         auto state = serving_state({item_of(target_of("t"))});
@@ -513,7 +516,7 @@
                 }
             }
         }
-        CPPUNIT_FAIL("the store was not asked again");
+        CPPUNIT_FAIL("the store was not queried again");
     }
 
     void the_configuration_never_goes_back()
--- a/unit_tests/control/probing_test.cpp
+++ b/unit_tests/control/probing_test.cpp
@@ -21,7 +21,7 @@
     return world.state_of(id).self.domain;
 }
 
-/// Whether `at` takes `who` for alive.
+/// Whether host `at` considers host `who` alive.
 bool believes_alive(const store_world& world, const host_id& at, const host_id& who)
 {
     const auto& members = world.state_of(at).membership.members;
@@ -29,7 +29,7 @@
     return found != members.end() && found->second.alive;
 }
 
-/// Live hosts that take `who` for alive, in its failure domain or elsewhere.
+/// The number of live hosts that consider `who` alive, in its failure domain or elsewhere.
 std::size_t believers(const store_world& world, const host_id& who, bool at_home)
 {
     const auto all = world.hosts();
@@ -40,7 +40,7 @@
     }));
 }
 
-/// Pairs of hosts without a fault of which one takes the other for dead.
+/// The number of pairs of healthy hosts of which one considers the other dead.
 std::size_t false_deaths(const store_world& world)
 {
     std::size_t count = 0;
@@ -92,8 +92,8 @@
         play_death(3, 22, 0.05);
     }
 
-    /// Half of the hosts of a failure domain die together, so that neighbours die with those who
-    /// would miss them.
+    /// Half of the hosts of a failure domain die at once, so that many dead hosts have dead
+    /// predecessors, which would otherwise have detected them.
     void many_deaths_at_once_are_known_soon()
     {
         store_world world({3, 2, 12, 0.01, 3, milliseconds(3'000)});
@@ -124,7 +124,8 @@
         }
     }
 
-    /// Found by membership_benchmark: 24 hosts in 6 failure domains believed in false deaths.
+    /// Guards against false positives, seen in membership_benchmark with 24 hosts in 6 failure
+    /// domains.
     void no_live_host_of_a_small_domain_is_taken_for_dead()
     {
         for (const std::size_t hosts_per_domain : {3, 4, 7}) {
@@ -138,7 +139,8 @@
         }
     }
 
-    /// Found by membership_benchmark: 198 hosts in 9 failure domains believed in false deaths.
+    /// Guards against false positives, seen in membership_benchmark with 198 hosts in 9 failure
+    /// domains.
     void no_live_host_of_a_large_domain_is_taken_for_dead()
     {
         store_world world({3, 3, 22, 0.1, 5, milliseconds(3'000)});
--- a/unit_tests/control/spill_test.cpp
+++ b/unit_tests/control/spill_test.cpp
@@ -16,10 +16,10 @@
     int domains = 0;
     int hosts = 0; ///< in each domain
     std::map<std::string, std::pair<std::uint32_t, double>>
-        granted; ///< in flight and bytes a second
+        granted; ///< requests in flight and bytes per second
 };
 
-/// Domains with hosts, a service with targets in each, and grants among them.
+/// A configuration of domains with hosts, one target per domain, and grants between the domains.
 random_fleet make_fleet(std::mt19937& random)
 {
     constexpr double bytes_per_megabit = 125'000;
@@ -46,7 +46,7 @@
     return f;
 }
 
-/// One host's view after hearing a random part of the others.
+/// The snapshot of one host after it received gossip from a random subset of the others.
 control_state make_view(const random_fleet& f, int domain, int index, std::mt19937& random)
 {
     const host_id self("h" + std::to_string(domain) + std::to_string(index));
@@ -73,8 +73,8 @@
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    /// Whatever each host believes of the others, the parts that they would use add up to no more
-    /// than was granted, in requests and in bytes a second.
+    /// Whichever hosts each host considers alive, the shares of all hosts add up to no more than
+    /// the grant, in requests in flight and in bytes per second.
     void all_hosts_together_stay_within_every_grant()
     {
         std::mt19937 random(12);
--- a/unit_tests/control/store_followers_test.cpp
+++ b/unit_tests/control/store_followers_test.cpp
@@ -19,7 +19,7 @@
     return state.inventory.targets.contains(target_id(name));
 }
 
-/// Whether all hosts without a fault fulfil the condition.
+/// Whether the condition holds on all hosts without a fault.
 bool all_sound(const store_world& world, const std::function<bool(const control_state&)>& condition)
 {
     return std::ranges::all_of(world.hosts(), [&](const host_id& id) {
@@ -36,7 +36,7 @@
     });
 }
 
-/// Changes one target, deletes another and changes the configuration, all at once.
+/// Changes one target, deletes another and changes the configuration at the same time.
 void change_all(store_world& world)
 {
     world.put_target("new");
@@ -53,8 +53,8 @@
     return world;
 }
 
-/// Plays a fault of all followers that starts just before changes, which must be in force in time
-/// at all hosts that the fault leaves.
+/// Injects a fault at all followers just before changes, which must take effect in time on all
+/// hosts without the fault.
 void play_fault_of_followers(host_fault fault, std::uint64_t seed)
 {
     store_world_settings settings;
@@ -151,7 +151,7 @@
         }
     }
 
-    /// It had the lists of long ago, and its steady clock stood still meanwhile.
+    /// Its lists are outdated, and its steady clock stopped while it was frozen.
     void a_follower_that_wakes_takes_nothing_back()
     {
         auto world = make_world();
@@ -165,7 +165,8 @@
         for (const auto& id : frozen) {
             world.clear_fault(id);
         }
-        constexpr int steps_until_in_touch = 50; // Of 100 ms: 3 s until it counts, 2 s for news.
+        constexpr int steps_until_in_touch =
+            50; // Of 100 ms: 3 s to count as alive, 2 s for changes.
         for (int step = 0; step < steps_until_in_touch; ++step) {
             world.run_for(milliseconds(100));
             for (const auto& id : world.hosts()) {
@@ -195,11 +196,11 @@
             world.run_for(seconds(2));
             const auto& state = world.state_of(id);
             CPPUNIT_ASSERT(state.stage == life_stage::serving && knows_target(state, "stays"));
-            CPPUNIT_ASSERT_EQUAL(before + 1, world.calls_of(id)); // It lists itself.
+            CPPUNIT_ASSERT_EQUAL(before + 1, world.calls_of(id)); // Only its own registration.
         }
     }
 
-    /// Some hosts go on serving; the others learn all from them.
+    /// Some hosts keep serving; the restarted ones get all state from them.
     void all_hosts_restart_while_the_store_is_away()
     {
         auto world = make_world();
@@ -214,13 +215,13 @@
         }));
     }
 
-    /// The goal of a day of 40 s: 25 calls a host at 12 hosts, 15 at 72, 8 at 198.
+    /// The limits for a run of 40 s: 25 calls per host with 12 hosts, 15 with 72, 8 with 198.
     void a_quiet_fleet_asks_seldom_at_any_size()
     {
         struct size {
             std::size_t domains = 0;
             std::size_t hosts = 0;
-            std::size_t most_calls = 0; ///< of a host
+            std::size_t most_calls = 0; ///< of any host
         };
         for (const auto& [domains, hosts, most_calls] :
              {size{2, 2, 25}, size{2, 12, 15}, size{3, 22, 8}}) {
--- a/unit_tests/control/store_world.h
+++ b/unit_tests/control/store_world.h
@@ -8,24 +8,25 @@
 #include <queue>
 #include <set>
 
-/// Hosts with the real reducer, a store and a network between them, in virtual time.
+/// A deterministic simulation in virtual time of hosts with the real reducer, a store and a
+/// network.
 namespace almondquay {
 
 struct store_world_settings {
     std::size_t regions = 3;
     std::size_t domains_per_region = 2;
     std::size_t hosts_per_domain = 2;
-    double loss = 0; ///< of datagrams
+    double loss = 0; ///< probability of the loss of a datagram
     std::uint64_t seed = 1;
     std::chrono::milliseconds news_within{2'000};
 };
 
-/// What is wrong with a host.
+/// Faults that can be injected at a host.
 enum class host_fault {
     dead,   ///< does nothing, and nothing reaches it
-    frozen, ///< as dead, but goes on where it was when the fault ends
-    deaf,   ///< its questions to the store are never answered
-    alone,  ///< neither the store nor other hosts reach it
+    frozen, ///< like dead, but resumes with its state when the fault ends
+    deaf,   ///< its queries to the store are never answered
+    alone,  ///< partitioned from the store and all other hosts
 };
 
 class store_world {
@@ -35,32 +36,32 @@
     void run_for(std::chrono::milliseconds time);
     std::chrono::milliseconds now() const { return now_; }
 
-    /// Changes in the store; each returns the revision that it made.
+    /// Change the store; each returns the revision of its change.
     store_revision put_target(const std::string& name, std::uint64_t life = 1);
     store_revision delete_target(const std::string& name);
     store_revision put_evacuation(const std::string& domain);
     store_revision put_configuration(std::uint64_t number);
 
-    /// A request was in flight at this host when a target crashed.
+    /// Reports to the host that a request of its own was in flight when a target crashed.
     void report_crash(const host_id& id, const crash_evidence& evidence);
-    /// A connection of this host was refused by a target.
+    /// Reports to the host that a target refused its connection.
     void report_refused_connection(const host_id& id, const target_id& target);
-    /// Calls with evidence of crashes, of all hosts.
+    /// Number of calls between hosts that carried crash evidence.
     std::size_t evidence_calls() const { return evidence_calls_; }
 
     void set_fault(const host_id& id, host_fault fault);
     void clear_fault(const host_id& id);
-    /// Ends a process and starts a new one in its place.
+    /// Kills a host's process and starts a new one.
     void restart(const host_id& id);
     void set_store_away(bool away) { store_away_ = away; }
 
-    /// All hosts, and those of them that follow the store.
+    /// All hosts, and those that are followers of the store.
     std::vector<host_id> hosts() const;
     std::vector<host_id> followers() const;
     bool has_fault(const host_id& id) const { return faults_.contains(id); }
 
     const control_state& state_of(const host_id& id) const { return hosts_.at(id)->state; }
-    /// Calls to the store, of all hosts and of one.
+    /// Number of calls to the store by all hosts and by one host.
     std::size_t calls() const;
     std::size_t calls_of(const host_id& id) const { return hosts_.at(id)->calls; }
 
@@ -68,9 +69,9 @@
     struct running_host {
         host self;
         control_state state;
-        std::uint64_t life = 0; ///< events for an earlier life are dropped
+        std::uint64_t life = 0; ///< events for an earlier incarnation are dropped
         std::size_t calls = 0;
-        std::chrono::milliseconds suspended{0}; ///< by which its steady clock is late
+        std::chrono::milliseconds suspended{0}; ///< offset by which its steady clock is behind
         std::chrono::milliseconds frozen_at{0};
     };
     struct change {
--- a/unit_tests/control/unreachable_targets_test.cpp
+++ b/unit_tests/control/unreachable_targets_test.cpp
@@ -14,7 +14,8 @@
 using std::chrono::seconds;
 
 constexpr seconds warm_up{10};
-/// Callers wait about so long for work; hosts that know later find out by requests of their own.
+/// Callers wait about this long for an answer; hosts that are told later detect the failure by
+/// requests of their own.
 constexpr milliseconds known_within{500};
 const target_id dead("t1");
 
@@ -37,7 +38,7 @@
     return id.value.starts_with("edge-" + region);
 }
 
-/// Hosts of a region that give the target no work.
+/// Number of hosts of a region that exclude the target.
 std::size_t hosts_without(const store_world& world, const target_id& target,
                           const std::string& region)
 {
@@ -64,8 +65,8 @@
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    /// Found at further-grown inc-3ea1: of 84 hosts each one found the same dead targets by failed
-    /// requests of its own, 635 of them in two seconds.
+    /// Guards against each host detecting a dead target by itself: 84 hosts detected the same dead
+    /// targets by 635 failed requests of their own within two seconds.
     void one_refused_connection_is_known_in_the_region()
     {
         auto world = make_world();
@@ -85,7 +86,7 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{0}, hosts_without(world, dead, "r0"));
     }
 
-    /// A host that reaches nothing must not take all targets from the others.
+    /// A host that cannot reach any target must not make the others exclude all of them.
     void a_host_that_is_refused_everywhere_is_distrusted()
     {
         auto world = make_world();
