--- a/source/traffic/beast_types.h
+++ b/source/traffic/beast_types.h
@@ -7,7 +7,7 @@
 #include <boost/beast/core.hpp>
 #include <boost/beast/http.hpp>
 
-/// Short names for the HTTP library, used only by the traffic threads' sources.
+/// Aliases for Boost.Asio and Boost.Beast, used only by the sources of the traffic threads.
 namespace almondquay {
 
 namespace asio = boost::asio;
@@ -15,7 +15,8 @@
 using tcp = boost::asio::ip::tcp;
 using error_code = boost::system::error_code;
 
-/// Makes an operation awaitable and puts its failure into `problem`.
+/// Completion token that makes an asynchronous operation awaitable and stores its error in
+/// `problem`.
 inline auto into(error_code& problem)
 {
     return asio::redirect_error(asio::use_awaitable, problem);
--- a/source/traffic/caller_reader.cpp
+++ b/source/traffic/caller_reader.cpp
@@ -7,14 +7,14 @@
 
 namespace {
 
-/// Requests of one connection that run at the same time.
+/// Maximum number of requests of one connection that are processed at the same time.
 constexpr std::uint64_t max_pipelined = 16;
-/// How long a closed connection waits for the caller to close it as well, so that bytes still on
-/// their way do not reset it before the last answer has arrived.
+/// How long to wait for the caller to close its side after ours was shut down. Closing with data
+/// still in transit would reset the connection before the last response has arrived.
 constexpr std::chrono::milliseconds linger_time{1'000};
 constexpr std::chrono::seconds body_timeout{30};
-/// After a refusal the rest of a body up to this size is read, so that the answer arrives before
-/// the connection closes.
+/// Size of a single read while waiting for a request, and while discarding the rest of a body after
+/// a refusal so that the response arrives before the connection closes.
 constexpr std::size_t read_ahead_bytes = 4UL * 1024;
 
 asio::awaitable<void> send_continue(caller_connection& connection, const caller_parser& parser,
@@ -27,7 +27,7 @@
     }
 }
 
-/// Ends an idle connection after a time, but only while none of its requests runs.
+/// Closes an idle connection after a timeout, but only while none of its requests is active.
 class idle_limit {
 public:
     idle_limit(caller_connection& connection, std::chrono::milliseconds limit)
--- a/source/traffic/caller_reader.h
+++ b/source/traffic/caller_reader.h
@@ -11,8 +11,8 @@
 /// Reads requests from a caller's connection within limits of size and time.
 namespace almondquay {
 
-/// Ends a read from the caller after a time, but leaves the connection open for a refusal, which
-/// the stream's own timeout does not.
+/// Cancels a read from the caller after a timeout. Unlike the timeout of the stream itself, it
+/// leaves the connection open so that an error response can be sent.
 class read_limit {
 public:
     read_limit(caller_connection& connection, std::chrono::milliseconds limit)
@@ -30,7 +30,7 @@
     read_limit(const read_limit&) = delete;
     read_limit& operator=(const read_limit&) = delete;
 
-    /// Translates the cancelled read of an expired limit to a timeout.
+    /// Replaces the cancellation error of an expired limit by a timeout error.
     void translate(error_code& problem) const
     {
         if (problem && state_->expired) {
@@ -48,27 +48,28 @@
     std::shared_ptr<shared_state> state_;
 };
 
-/// Waits for the first byte of the next request. False if no further request is to be read.
+/// Waits for the first byte of the next request. Returns false if no further request is to be read.
 asio::awaitable<bool> wait_for_request(worker& w, caller_connection& connection);
 
 /// Reads a request's header.
 asio::awaitable<void> read_request_header(const worker& w, caller_connection& connection,
                                           caller_parser& parser, error_code& problem);
 
-/// Reads the first piece of the body; sets whether that is all of it.
+/// Reads the first piece of the body and sets whether that is the complete body.
 asio::awaitable<void> read_body(caller_request& request, error_code& problem);
 
-/// How long a caller may take for the next piece of a request's body: no longer than the request
-/// has left, so that one that sends slowly does not hold a target's slot.
+/// Timeout for the next piece of a request's body: at most the time left until the request's
+/// deadline, so that a slow caller does not occupy a target's slot beyond it.
 std::chrono::milliseconds time_for_body(const caller_request& request);
 
-/// Closes towards the caller and waits for it to do the same.
+/// Shuts down the sending side and waits until the caller closes the connection.
 asio::awaitable<void> linger(caller_connection& connection);
 
-/// Whether the caller has just gone, without a mistake that could be answered.
+/// Whether a read failed because the caller closed the connection, rather than because of a
+/// malformed request that can be answered with an error.
 bool is_plain_close(const error_code& problem);
 
-/// What a request is refused with whose header or body could not be read.
+/// The result code for a request whose header or body could not be read.
 result_code code_of_read_failure(const error_code& problem);
 
 } // namespace almondquay
--- a/source/traffic/claimed.cpp
+++ b/source/traffic/claimed.cpp
@@ -17,7 +17,8 @@
     return XXH3_64bits(text.data(), text.size());
 }
 
-/// Asks for the key and waits. The control thread answers every question within its patience.
+/// Requests a claim on the key and waits for the verdict. The control thread answers every claim
+/// request within its own timeout.
 asio::awaitable<claim_verdict_effect> ask(worker& w, claim_wanted_event wanted)
 {
     verdict_wait wait(w.io);
--- a/source/traffic/claimed.h
+++ b/source/traffic/claimed.h
@@ -2,20 +2,21 @@
 
 #include "traffic/forward.h"
 
-/// Requests that must not repeat: claimed before they run, recorded after.
+/// Non-idempotent requests: their idempotency key is claimed before they are forwarded, and their
+/// outcome is recorded afterwards.
 namespace almondquay {
 
-/// How a request that must not repeat ended.
+/// Result of a non-idempotent request.
 struct claimed_end {
     forward_end end;
-    std::optional<claim_answer> replayed; ///< the first answer, for a caller that asked again
+    std::optional<claim_answer> replayed; ///< the stored first response, if the key was used before
 };
 
 inline constexpr std::string_view key_header = "Idempotency-Key";
 
-/// Claims the request's key, forwards the request if the claim is granted, and records how it
-/// ended. What a refusal says of the work goes by the key: "not-run" only if no request with this
-/// key runs or has run.
+/// Claims the request's idempotency key, forwards the request if the claim is granted, and records
+/// the outcome. The outcome in a refusal refers to the key: it is "not-run" only if no request with
+/// this key is running or has run.
 asio::awaitable<claimed_end> forward_claimed(worker& w, caller_request& request);
 
 } // namespace almondquay
--- a/source/traffic/exchange.cpp
+++ b/source/traffic/exchange.cpp
@@ -17,12 +17,14 @@
 
 constexpr std::uint32_t max_answer_header_bytes = 64U * 1024;
 constexpr std::chrono::seconds caller_write_timeout{30};
-/// A repeatable request gets this part of its time before it is tried on another connection, if
-/// its own one may have gone silent.
+/// If the connection may be dead, a repeatable request waits for its response for the remaining
+/// time divided by this before it is retried on another connection.
 constexpr int doubted_connection_part = 3;
-/// A new connection is doubted after so many times the service's slowest recent answer.
+/// A new connection may be dead if its response takes longer than the service's slowest recent
+/// response time multiplied by this.
 constexpr double doubted_after_slowest = 3;
-/// Further interim answers before a final one are no answer.
+/// Maximum number of interim (1xx) responses before the final one; with more of them the response
+/// counts as malformed.
 constexpr unsigned max_interim_answers = 16;
 constexpr unsigned informational = 100;
 constexpr unsigned first_final_status = 200;
@@ -83,7 +85,8 @@
     return head;
 }
 
-/// Sends the header and the body, reading what is not in memory from the caller piece by piece.
+/// Sends the header and the body. The part of the body that is not buffered is streamed from the
+/// caller.
 asio::awaitable<void> send_request(worker& w, const slot& used, upstream_connection& upstream,
                                    caller_request& request, error_code& problem)
 {
@@ -123,7 +126,7 @@
     }
 }
 
-/// Reads one piece of the answer's body into `piece`; returns its size.
+/// Reads one piece of the response body into `piece`; returns its size.
 asio::awaitable<std::size_t> read_piece(upstream_connection& upstream, upstream_parser& parser,
                                         std::string& piece, error_code& problem)
 {
@@ -137,7 +140,8 @@
     co_return piece.size() - body.size;
 }
 
-/// The last moment to decide whether the connection ends with this answer.
+/// Whether the caller's connection stays open after this response. Evaluated just before the
+/// response header is sent, to take account of requests that were read in the meantime.
 bool should_keep_alive(const worker& w, const caller_request& request)
 {
     const bool wants_close =
@@ -165,7 +169,7 @@
     answer.keep_alive(request.keep_alive);
 }
 
-/// An answer of which nothing has been passed on yet.
+/// The result of an attempt that failed before any part of a response was relayed.
 forward_end lost_end(const caller_request& request, result_code code)
 {
     return {code, outcome::unknown, false, request.body_is_complete || request.parser->is_done(),
@@ -179,9 +183,9 @@
     return end;
 }
 
-/// Writes the answer's header and `size` bytes of its body, then the rest piece by piece. A body
-/// that is cut short on the way in is cut short on the way out: the caller's connection is closed
-/// instead of ended as if whole.
+/// Sends the response header and `size` bytes of its body, then streams the rest. If the target's
+/// body is truncated, the caller's connection is closed without a proper end of the body, so that
+/// the caller does not take it for complete.
 asio::awaitable<void> write_answer(caller_request& request, upstream_connection& upstream,
                                    upstream_parser& parser, std::string& piece, std::size_t size,
                                    pacing rate, worker& w, forward_end& end)
@@ -219,7 +223,8 @@
     }
 }
 
-/// Reads the first piece, which is all of most answers, before anything is passed on.
+/// Relays the response. The first piece of the body, which is all of it for most responses, is read
+/// before anything is sent to the caller.
 asio::awaitable<forward_end> pass_answer(worker& w, caller_request& request, const slot& used,
                                          upstream_connection& upstream, upstream_parser& parser)
 {
@@ -293,9 +298,9 @@
                                             : result_code::target_answer_lost;
 }
 
-/// Whether an answer that has not come after this part of the time most likely never will. A kept
-/// connection may have gone silent before the request; a new one may do so while it waits, which
-/// shows only where the service's answers usually come much sooner.
+/// Whether a response that has not arrived after `part` of the time most likely never will. A
+/// reused connection may have died before the request was sent. A new one may die while waiting,
+/// which can be noticed only if the service's responses usually arrive much sooner.
 bool is_doubted(const worker& w, const caller_request& request, const upstream_connection& used,
                 clock::duration part)
 {
@@ -308,9 +313,10 @@
                part;
 }
 
-/// Under a route's rule connections are trusted: unacknowledged data end one that has gone silent,
-/// and to give up running work would cost its caller more. Only one attempt is given up so, since a
-/// request at which targets hang takes a slot from each.
+/// The deadline for the response header. Requests with a route rule wait until their deadline:
+/// connections that leave data unacknowledged are closed anyway, and abandoning running work would
+/// cost the caller more. Only one attempt of a request is abandoned early, because a request that
+/// makes targets hang occupies a slot of each of them.
 clock::time_point answer_deadline(const worker& w, const caller_request& request,
                                   const upstream_connection& used)
 {
@@ -328,7 +334,7 @@
     return status >= informational && status < first_final_status;
 }
 
-/// Reads the header of the final answer; a few informational ones before it are dropped.
+/// Reads the header of the final response; a few interim responses before it are dropped.
 asio::awaitable<void> read_answer_header(const caller_request& request,
                                          upstream_connection& upstream,
                                          std::optional<upstream_parser>& parser,
@@ -348,14 +354,15 @@
     problem = beast::http::error::header_limit;
 }
 
-/// Whether the answer is to another request than this one.
+/// Whether the response carries the ID of another request.
 bool is_foreign(const worker& w, const caller_request& request, const upstream_parser& parser)
 {
     const auto name = w.context.profile->request_id_header;
     return !name.empty() && !request.id.empty() && parser.get()[name] != request.id;
 }
 
-/// The idle time that a target states as "timeout=N" in seconds; 0 if it states none.
+/// The idle timeout that a target announces in its Keep-Alive header as "timeout=N" in seconds; 0
+/// if it announces none.
 std::chrono::milliseconds idle_limit_of(const upstream_parser& parser)
 {
     constexpr std::string_view key = "timeout=";
--- a/source/traffic/exchange.h
+++ b/source/traffic/exchange.h
@@ -5,7 +5,7 @@
 /// One attempt of a request on one connection to a target.
 namespace almondquay {
 
-/// Sends the request, waits for the answer's header and passes the answer on.
+/// Sends the request, waits for the response header and relays the response to the caller.
 asio::awaitable<forward_end> exchange(worker& w, caller_request& request, const slot& used,
                                       connection_ptr upstream);
 
--- a/source/traffic/forward.cpp
+++ b/source/traffic/forward.cpp
@@ -19,15 +19,16 @@
 
 constexpr unsigned max_attempts_without_rule = 3;
 constexpr std::chrono::milliseconds longest_slot_wait{2'000};
-/// Failures in a row after which this thread prefers other targets for a while.
+/// Number of consecutive failures after which this thread prefers other targets for `avoid_time`.
 constexpr unsigned failures_to_avoid = 2;
 constexpr std::chrono::milliseconds avoid_time{1'000};
-/// What a refused caller is told when no target is known to get free.
+/// Minimum Retry-After of a refusal; also used if it is not known when a target will be free.
 constexpr std::chrono::milliseconds shortest_retry_after{200};
-/// A target that crashes may close its connections a little before its listener.
+/// Delay before testing whether a target has crashed: a crashing target may close its connections
+/// slightly before its listener.
 constexpr std::chrono::milliseconds crash_check_delay{150};
 
-/// Gives the slot back when the attempt ends, however it ends.
+/// Returns the slot to the pool when the attempt ends, however it ends.
 struct slot_guard {
     slot_guard(slot_pool& p, slot s) : pool(&p), held(std::move(s)) {}
     ~slot_guard() { pool->give_back(held); }
@@ -65,7 +66,7 @@
     co_return std::move(waiter.granted);
 }
 
-/// Gives the place in a shared target's load back when the attempt ends, however it ends.
+/// Decrements the in-flight count of a shared target when the attempt ends, however it ends.
 struct load_guard {
     load_guard(worker& owner, target_id id) : w(&owner), target(std::move(id)) {}
     ~load_guard() { --w->loads[target].in_flight; }
@@ -101,7 +102,8 @@
     return wish;
 }
 
-/// The target for the next attempt of a request whose service's targets are shared by all hosts.
+/// Chooses the target for the next attempt of a request if the targets of its service are shared by
+/// all hosts.
 std::optional<slot> take_shared(worker& w, caller_request& request,
                                 const std::vector<target_id>& excluded, forward_end& refused)
 {
@@ -169,8 +171,9 @@
            std::string(head.target()).substr(0, longest_path);
 }
 
-/// A target that still takes connections has not crashed; it, or something on the way, has lost an
-/// answer. The connection made to find out is kept for later requests.
+/// Reports a crash unless the target still accepts connections; in that case it, or a network
+/// device on the path, merely lost a response. The connection opened for this test is kept for
+/// later requests.
 asio::awaitable<void> report_if_crashed(worker& w, crash_evidence evidence, endpoint address)
 {
     error_code problem;
@@ -185,8 +188,8 @@
     w.context.events.crash(std::move(evidence));
 }
 
-/// A connection that ends without an answer may be a target that crashed of this request. A suspect
-/// that is served is cleared.
+/// If the connection closed without a response, tests whether this request crashed the target. A
+/// suspected request that is served is cleared.
 void note_suspicion(worker& w, const caller_request& request, const slot& used,
                     const forward_end& end)
 {
@@ -202,8 +205,8 @@
 
 asio::awaitable<forward_end> attempt(worker& w, caller_request& request, const slot& used)
 {
-    // Work that must not repeat never goes out on a kept connection, where a close by the other
-    // end would leave its outcome unknown.
+    // Non-idempotent requests are never sent on a reused connection, where a close by the target
+    // would leave their outcome unknown.
     auto upstream = request.repeatable ? take_idle(w.upstreams, used.address) : nullptr;
     if (!upstream) {
         error_code problem;
@@ -229,7 +232,7 @@
         note_answer(w, request.service, clock::now() - sent);
     }
     if (used.is_spill) {
-        co_return end; // The receiving host judges its own targets.
+        co_return end; // The receiving host tracks the health of its own targets.
     }
     note_suspicion(w, request, used, end);
     const bool is_target_failure = end.code == result_code::target_answer_lost ||
@@ -253,8 +256,8 @@
            (found != w.snapshot->services.end() && found->second.are_targets_shared);
 }
 
-/// After an attempt that was given up, a free slot of another target: the doubted one may still run
-/// it, or its connections may go silent again.
+/// After an abandoned attempt, takes a free slot of another target: the previous target may still
+/// be processing the request, or its connections may fail again.
 std::optional<slot> take_undoubted(worker& w, const caller_request& request,
                                    std::vector<target_id> excluded)
 {
@@ -265,8 +268,8 @@
     return w.context.slots->try_take(request.service, excluded, !request.is_spilled);
 }
 
-/// One attempt within this host's share of slots, or nothing if there is none; `end` says why
-/// unless an earlier attempt does.
+/// Makes one attempt within this host's share of slots. Returns nothing if no slot is available;
+/// the reason is then stored in `end` unless an earlier attempt has set one.
 asio::awaitable<std::optional<forward_end>>
 try_own(worker& w, caller_request& request, std::vector<target_id>& excluded, forward_end& end)
 {
@@ -285,14 +288,15 @@
     const auto sent = clock::now();
     auto tried = co_await attempt(w, request, guard.held);
     log_attempt(w, request, guard.held, tried, clock::now() - sent);
-    // A failed kept connection says little about its target, so that one may be tried again.
+    // Only a target that did not run the request is excluded: the failure of a reused connection
+    // says little about its target, which may be tried again.
     if (tried.what == outcome::not_run) {
         excluded.push_back(guard.held.target);
     }
     co_return tried;
 }
 
-/// One attempt at a target that all hosts share.
+/// Makes one attempt at a target that is shared by all hosts.
 asio::awaitable<std::optional<forward_end>>
 try_shared(worker& w, caller_request& request, std::vector<target_id>& excluded, forward_end& end)
 {
@@ -323,8 +327,8 @@
            clock::now() < request.deadline;
 }
 
-/// The end of all attempts so far: what an earlier one may have done is not undone by a later one
-/// that did not run.
+/// The combined result of all attempts so far: if an earlier attempt may have run, the outcome
+/// stays unknown even if a later one did not run.
 forward_end join_ends(const forward_end& before, const forward_end& latest)
 {
     auto end = latest;
--- a/source/traffic/lookup.cpp
+++ b/source/traffic/lookup.cpp
@@ -7,7 +7,8 @@
 
 namespace {
 
-/// Callers say where they are, or their address tells; who cannot be placed is near this host.
+/// The region of a caller according to its "zone" or "region" parameter. Without a known one, the
+/// caller is assumed to be in the region of this host.
 region_id region_of_caller(const worker& w, const std::vector<http::header>& parameters)
 {
     const auto domain = w.snapshot->regions.find(
@@ -19,7 +20,8 @@
     return w.snapshot->entry_hosts.contains(named) ? named : w.snapshot->home;
 }
 
-/// The body of a look-up answer, or nothing if the service is unknown.
+/// The body of a look-up response, or nothing if the service is unknown or the caller's region has
+/// no entry hosts.
 std::optional<std::string> lookup_answer_for(const worker& w, const caller_connection& connection,
                                              const http::path_parts& parts)
 {
--- a/source/traffic/lookup.h
+++ b/source/traffic/lookup.h
@@ -3,17 +3,17 @@
 #include "traffic/forward.h"
 #include "traffic/worker.h"
 
-/// Look-ups by callers, and whether this host takes callers.
+/// Look-up and readiness requests from callers.
 namespace almondquay {
 
-/// Whether this host knows what is in force.
+/// Whether this host has a routing snapshot of the configuration in force.
 bool is_ready(const worker& w);
 
-/// Names the hosts where the caller may send its requests.
+/// Responds with the hosts to which the caller may send its requests.
 asio::awaitable<void> answer_lookup(worker& w, caller_connection& connection, std::uint64_t turn,
                                     const caller_parser& parser);
 
-/// 200 while this host takes callers.
+/// Responds with 200 while this host accepts callers, otherwise with 503.
 asio::awaitable<void> answer_readiness(worker& w, caller_connection& connection, std::uint64_t turn,
                                        const caller_parser& parser);
 
--- a/source/traffic/own_answer.cpp
+++ b/source/traffic/own_answer.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// What a refused caller is told when nothing better is known.
+/// Retry-After of a refusal if no better estimate is available.
 constexpr std::chrono::milliseconds default_retry_after{300};
 constexpr double ms_per_second = 1'000;
 constexpr std::chrono::seconds write_timeout{30};
--- a/source/traffic/placement.cpp
+++ b/source/traffic/placement.cpp
@@ -15,7 +15,7 @@
 
 constexpr double hashes = 18446744073709551616.0; // 2^64
 
-/// Weight of the newest answer in the mean time that a target takes.
+/// Weight of the newest response in the moving average of a target's time per request.
 constexpr double service_step = 0.2;
 
 struct candidate {
@@ -38,7 +38,8 @@
            std::ranges::find(*wish.excluded, t.id) != wish.excluded->end();
 }
 
-/// Whether this host may send one more request to a target that is cold.
+/// Whether the target is warm or this host may send it one more request within the limit for cold
+/// targets.
 bool has_cold_room(const target_route& t, const target_load* load, clock::time_point now)
 {
     if (now >= t.cold_until) {
@@ -66,8 +67,9 @@
         return milliseconds{0};
     }
     const auto slots = std::max<double>(1, t.slots);
-    const auto known = std::max(expected_in_flight(*load, now),
-                                slots + mean_queue(*load, now)); // Of a busy target.
+    const auto known =
+        std::max(expected_in_flight(*load, now),
+                 slots + mean_queue(*load, now)); // A target with a queue uses all its slots.
     const auto ahead =
         (mean_queue(*load, now) > 1 ? known : expected_in_flight(*load, now)) + 1 - slots;
     const auto work =
@@ -82,16 +84,18 @@
     return found == loads.end() ? nullptr : &found->second;
 }
 
-/// Where in its range of 0 to 1 an object comes when a target hands objects over.
+/// A hash between 0 and 1 of an object and a target. The target hands the object over while its
+/// handed-over share is above this.
 double turn_of(std::uint64_t object, const target_route& t)
 {
-    constexpr std::uint64_t seed = 0x9e3779b97f4a7c15U; // Unlike that of the order.
+    constexpr std::uint64_t seed =
+        0x9e3779b97f4a7c15U; // Differs from the seed of `rendezvous_score`.
     const auto hash = XXH3_64bits_withSeed(t.id.value.data(), t.id.value.size(), object ^ seed);
     return static_cast<double>(hash) / hashes;
 }
 
-/// The first target in the object's order that has not handed it over; if all have, the one that
-/// hands over least.
+/// The index of the first target in the object's order that does not hand it over; if all do, of
+/// the one with the smallest handed-over share.
 std::size_t choose_for_object(const std::vector<candidate>& all, std::size_t considered,
                               std::uint64_t object)
 {
@@ -234,7 +238,7 @@
 
 void note_answer_time(target_load& load, const std::uint32_t slots, clock::duration took)
 {
-    // A request that found a queue waited for it to pass through the slots.
+    // A request that was queued waited until the requests before it had passed through the slots.
     const std::chrono::duration<double, std::milli> whole = took;
     const auto rounds = 1 + static_cast<double>(load.waiting) / std::max<std::uint32_t>(1, slots);
     const auto service = whole.count() / rounds;
--- a/source/traffic/request_log.cpp
+++ b/source/traffic/request_log.cpp
@@ -8,7 +8,8 @@
 
 using clock = std::chrono::steady_clock;
 
-/// Of each thread. Successes have less room, so that they never displace failures.
+/// Per traffic thread. Successes have a separate, lower limit, so that they never displace
+/// failures.
 constexpr unsigned failure_lines_per_second = 60;
 constexpr unsigned success_lines_per_second = 20;
 
@@ -43,7 +44,7 @@
     return true;
 }
 
-/// How old the latest report of a target's load is; empty if there is none.
+/// The age of a target's latest load report in milliseconds; empty if there is none.
 std::string age_text(const target_load& load, clock::time_point now)
 {
     return load.reported == clock::time_point{} ? "" : milliseconds_text(now - load.reported);
--- a/source/traffic/request_rules.cpp
+++ b/source/traffic/request_rules.cpp
@@ -14,7 +14,7 @@
 
 using clock = std::chrono::steady_clock;
 
-/// One of so many requests is logged also if it succeeds.
+/// One in this many requests is logged even if it succeeds.
 constexpr std::uint64_t sampled_requests = 20;
 
 /// The service is the first label of the Host header: "ledger" or "ledger.example:80".
@@ -47,10 +47,10 @@
     return w.snapshot->routes && !w.snapshot->routes->by_host.empty();
 }
 
-/// The value of a cookie, or an empty text.
+/// The value of a cookie, or an empty string.
 std::string cookie_of(const caller_parser& parser, std::string_view name)
 {
-    std::string cookies(";"); // The list refers to this text.
+    std::string cookies(";"); // `param_list` refers to this string.
     cookies += parser.get()[beast::http::field::cookie];
     for (const auto& cookie : beast::http::param_list(cookies)) {
         if (std::string_view(cookie.first.data(), cookie.first.size()) == name) {
--- a/source/traffic/retry_budget.h
+++ b/source/traffic/retry_budget.h
@@ -6,24 +6,24 @@
 
 namespace almondquay {
 
-/// Bounds this host's retries to its part of what all hosts may send, so that retries cannot keep
-/// an overload going. A bucket of tokens: in any window of time no more are taken than the slack
-/// and the ratio of the window's requests.
+/// Limits this host's retries to its share of the budget of all hosts, so that retries cannot
+/// sustain an overload. Token bucket: within any time window, retries do not exceed the slack plus
+/// the ratio multiplied by the requests in that window.
 struct retry_budget {
     double tokens = -1; ///< -1: before the first request
 };
 
-/// Part of the permitted ratio that is used, since requests and retries are counted by others at
-/// slightly different times.
+/// Fraction of the permitted ratio that is used. The margin allows for others counting requests and
+/// retries at slightly different times.
 constexpr double used_part_of_ratio = 0.8;
 
-/// Counts a first attempt. `hosts` share the slack.
+/// Adds the tokens for a first attempt. The slack is divided among `hosts`.
 void note_request(retry_budget& budget, const shared_budgets& bounds, std::size_t hosts);
 
-/// Whether one more retry would be allowed.
+/// Whether a token for one more retry is available.
 bool has_retry(const retry_budget& budget);
 
-/// Whether one more retry is allowed; if so it is paid for.
+/// Takes the token for one retry. Returns false if none is available.
 bool take_retry(retry_budget& budget);
 
 } // namespace almondquay
--- a/source/traffic/session.cpp
+++ b/source/traffic/session.cpp
@@ -16,7 +16,7 @@
 
 using clock = std::chrono::steady_clock;
 
-/// A request with what its coroutine needs; lives until its answer is out.
+/// A request and its parser; lives until the response has been sent.
 struct running_request
     : boost::intrusive_ref_counter<running_request, boost::thread_unsafe_counter> {
     caller_parser parser;
@@ -55,7 +55,7 @@
     co_return claimed_end{std::move(end), std::nullopt};
 }
 
-/// Runs a request whose first piece of body has been read, and answers it.
+/// Processes a request after the first piece of its body has been read, and sends the response.
 asio::awaitable<void> serve_request(worker& w, running_request_ptr running)
 {
     auto& request = running->request;
@@ -77,15 +77,15 @@
         co_await refuse(w, connection, request.turn, end, keep_alive);
     }
     request.unlink();
-    // The order of turns no longer counts once the caller has gone.
+    // Returns immediately once the caller has disconnected, since the order no longer matters.
     co_await wait_for_turn(connection, request.turn);
     end_turn(connection);
     if (connection.closing && !connection.is_busy()) {
-        connection.stream.cancel(); // Ends the read that waits for a further request.
+        connection.stream.cancel(); // Cancels the read that waits for a further request.
     }
 }
 
-/// An answer of our own after which the connection closes, since what follows cannot be read.
+/// Refuses a request and closes the connection, since the bytes that follow cannot be parsed.
 asio::awaitable<void> refuse_and_close(worker& w, caller_connection& connection, std::uint64_t turn,
                                        result_code code)
 {
@@ -93,8 +93,9 @@
     end_turn(connection);
 }
 
-/// Reads a request's body and starts it. Requests that must not repeat start when nothing before
-/// them runs any more, so that an earlier answer cannot take their connection away.
+/// Reads a request's body and starts processing it. Requests that are not repeatable or whose body
+/// is streamed start only after all earlier ones on the connection have ended, since an earlier
+/// response may close the connection.
 asio::awaitable<void> start_request(worker& w, running_request_ptr running)
 {
     auto& request = running->request;
@@ -123,7 +124,7 @@
         }
     }
     if (must_be_alone && connection.closing) {
-        ++connection.answering; // The answer before it has closed the connection: it was not read.
+        ++connection.answering; // Not read: the previous response closed the connection.
         connection.changed.cancel();
         co_return;
     }
@@ -142,7 +143,7 @@
     return !path.empty() && whole.substr(0, whole.find('?')) == path;
 }
 
-/// Reads one request and starts it. False if no further one can be read.
+/// Reads one request and starts it. Returns false if no further one can be read.
 asio::awaitable<bool> serve_next(worker& w, caller_connection& connection)
 {
     running_request_ptr running(new running_request);
--- a/source/traffic/session.h
+++ b/source/traffic/session.h
@@ -4,7 +4,8 @@
 
 namespace almondquay {
 
-/// Serves one caller's connection until it closes: look-ups and requests, one at a time.
+/// Serves a caller's connection until it closes. Look-ups and requests are read one at a time;
+/// pipelined requests may run concurrently.
 asio::awaitable<void> serve_caller(worker& w, caller_connection& connection);
 
 } // namespace almondquay
--- a/source/traffic/slot_pool.cpp
+++ b/source/traffic/slot_pool.cpp
@@ -29,8 +29,8 @@
     return t.listed && t.route.usable && t.in_flight < t.route.slots;
 }
 
-/// The free target with the smallest used part of its share; the first one among equals moves
-/// to the back so that equals take turns.
+/// Takes a slot of the free target that uses the smallest fraction of its share. The target moves
+/// to the back of the list, so that equally used targets take turns.
 std::optional<slot> take_kind(const std::string& service, service_entry& entry,
                               const std::vector<target_id>& excluded, bool spill)
 {
@@ -131,7 +131,7 @@
     }
     for (const auto& [name, routes] : snapshot.services) {
         if (routes.are_targets_shared) {
-            continue; // Their slots are nobody's share.
+            continue; // Slots of shared targets are not divided among hosts.
         }
         update_targets(state_->services[name], routes.targets);
     }
@@ -148,7 +148,7 @@
     const std::scoped_lock lock(state_->mutex);
     const auto found = state_->services.find(service);
     if (found == state_->services.end() || !found->second.waiters.empty()) {
-        return std::nullopt; // Those who wait come first.
+        return std::nullopt; // Queued waiters take precedence.
     }
     return take(found->first, found->second, excluded, may_spill);
 }
@@ -165,7 +165,7 @@
         return false;
     }
     entry.waiters.push_back(waiter);
-    serve_waiters(found->first, entry); // A slot may have come back since `try_take`.
+    serve_waiters(found->first, entry); // A slot may have been returned since `try_take`.
     return true;
 }
 
--- a/source/traffic/slot_pool.h
+++ b/source/traffic/slot_pool.h
@@ -12,21 +12,21 @@
 
 #include <boost/intrusive/list.hpp>
 
-/// This host's share of the targets' slots, common to all traffic threads.
+/// This host's share of the targets' slots, used by all its traffic threads.
 namespace almondquay {
 
-/// Leave to run one request on a target. Must be given back exactly once.
+/// Permit to run one request on a target. Must be returned with `give_back` exactly once.
 struct slot {
     std::string service;
     target_id target;
     endpoint address;
     bool sheds_unrun = false;
     bool is_spill = false;
-    double bytes_per_second = 0;  ///< of a spilled request
+    double bytes_per_second = 0;  ///< rate limit of a spilled request
     bool checks_identity = false; ///< refuses requests that name another target than itself
 };
 
-/// A request that waits for a slot. Lives in its coroutine; the pool only links it.
+/// A request that waits for a slot. Owned by its coroutine; the pool only links it.
 struct slot_waiter
     : boost::intrusive::list_base_hook<boost::intrusive::link_mode<boost::intrusive::auto_unlink>> {
     std::vector<target_id> excluded; ///< targets that have failed this request already
@@ -43,27 +43,29 @@
     slot_pool(const slot_pool&) = delete;
     slot_pool& operator=(const slot_pool&) = delete;
 
-    /// Takes over limits and usability. Slots in use beyond a lower limit are not taken away,
-    /// but no new one is given until enough have come back.
+    /// Applies the slot limits and usability of targets. Slots in use beyond a lowered limit are
+    /// not revoked, but no new one is granted until enough have been returned.
     void apply(const routing_snapshot& snapshot);
 
-    /// A slot of the least used target, or nothing if all are busy, unusable or excluded. Other
-    /// failure domains are used only if the own one has none and `may_spill` is set.
+    /// Takes a slot of the least used target. Returns nothing if all are busy, unusable or
+    /// excluded, or if other requests are waiting. Other failure domains are used only if the own
+    /// one has no free slot and `may_spill` is set.
     std::optional<slot> try_take(std::string_view service, const std::vector<target_id>& excluded,
                                  bool may_spill = false);
 
-    /// Queues the waiter. False if the queue is full, which the caller answers at once.
+    /// Queues the waiter. Returns false if the queue is full; the request is then refused
+    /// immediately.
     bool enqueue(std::string_view service, slot_waiter& waiter);
 
-    /// Takes the waiter out of the queue. A slot granted meanwhile stays in `granted`.
+    /// Removes the waiter from the queue. A slot granted in the meantime stays in `granted`.
     void cancel(std::string_view service, slot_waiter& waiter);
 
     void give_back(const slot& s);
 
-    /// Requests that run on the target from this host.
+    /// Number of requests from this host that run on the target.
     std::uint32_t in_flight(const target_id& target) const;
 
-    /// Whether the service has at least one usable target with a share here.
+    /// Whether the service has at least one usable target with slots for this host.
     bool has_usable_target(std::string_view service) const;
 
     struct shared_state;
@@ -74,7 +76,7 @@
     std::unique_ptr<shared_state> state_;
 };
 
-/// Waiters for each slot of a service; more would only wait past their deadlines.
+/// Maximum number of waiters per slot of a service; more would only wait past their deadlines.
 constexpr std::size_t waiters_per_slot = 8;
 
 } // namespace almondquay
--- a/source/traffic/spill.h
+++ b/source/traffic/spill.h
@@ -2,24 +2,25 @@
 
 #include "traffic/forward.h"
 
-/// Work that one failure domain sends to another within its grants.
+/// Spillover: requests that entry hosts of one failure domain forward to another within the
+/// capacity granted to them.
 namespace almondquay {
 
-/// On a spilled request: the signature of the sending host over service, method and path.
+/// Header of a spilled request: the sending host's signature over service, method and path.
 inline constexpr std::string_view spill_header = "Almondquay-Spill";
 
-/// What a sending host puts into the header.
+/// The signature that the sending host puts into the header.
 std::string spill_proof(const worker& w, std::string_view service,
                         const caller_parser::value_type& request);
 
-/// Whether an entry host has sent this request. It is then not spilled again, and its key has been
-/// claimed where it came from.
+/// Whether the request has a valid signature of an entry host. Such a request is not spilled again,
+/// and its idempotency key has been claimed by the sending host.
 bool is_spilled(const worker& w, std::string_view service,
                 const caller_parser::value_type& request);
 
-/// Holds the pieces of a spilled request to its part of the granted rate.
+/// Limits the transfer of a spilled request to its share of the granted rate.
 struct pacing {
-    double bytes_per_second = 0; ///< 0: not paced
+    double bytes_per_second = 0; ///< 0: unlimited
     double bytes = 0;
     std::chrono::steady_clock::time_point start = std::chrono::steady_clock::now();
 };
--- a/source/traffic/traffic_events.h
+++ b/source/traffic/traffic_events.h
@@ -6,7 +6,7 @@
 
 namespace almondquay {
 
-/// What the traffic threads tell the control thread; may be called from any thread.
+/// Callbacks by which the traffic threads notify the control thread; may be called from any thread.
 struct traffic_events {
     std::function<void(target_report_event)> report;
     std::function<void(crash_evidence)> crash;
--- a/source/traffic/traffic_server.cpp
+++ b/source/traffic/traffic_server.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-/// Request numbers of different threads never meet, and tell the thread.
+/// Size of each thread's range of request numbers, so that they are unique and identify the thread.
 constexpr std::uint64_t requests_per_thread = 1ULL << 48U;
 
 using work_guard = asio::executor_work_guard<asio::io_context::executor_type>;
--- a/source/traffic/traffic_server.h
+++ b/source/traffic/traffic_server.h
@@ -13,7 +13,7 @@
 #include <memory>
 #include <vector>
 
-/// The callers' side of an entry host: several threads that look up and forward.
+/// The caller-facing side of an entry host: threads that answer look-ups and forward requests.
 namespace almondquay {
 
 struct traffic_settings {
@@ -37,13 +37,14 @@
     traffic_server(const traffic_server&) = delete;
     traffic_server& operator=(const traffic_server&) = delete;
 
-    /// Gives all threads a new view. Called from the control thread.
+    /// Publishes a routing snapshot to all threads. Called from the control thread.
     void publish(const snapshot_ptr& snapshot);
 
-    /// Passes a verdict to the request that waits for it. Called from the control thread.
+    /// Delivers a claim's verdict to the request that waits for it. Called from the control thread.
     void give_verdict(const claim_verdict_effect& verdict);
 
-    /// Takes no further requests; `on_drained` is called from some thread after the last one.
+    /// Stops accepting requests; `on_drained` is called from any thread after the last one has
+    /// ended.
     void stop(std::function<void()> on_drained);
 
     std::uint32_t in_flight(const target_id& target) const;
--- a/source/traffic/upstream_pool.cpp
+++ b/source/traffic/upstream_pool.cpp
@@ -9,7 +9,8 @@
 
 namespace {
 
-/// An idle connection that does not answer two probes, a second apart, is closed.
+/// An idle connection that leaves two TCP keep-alive probes, one second apart, unanswered is
+/// closed.
 constexpr int probe_seconds = 1;
 constexpr int lost_probes = 2;
 
@@ -18,7 +19,7 @@
     intrusive_ptr_release(connection);
 }
 
-/// Whether the other end has closed the connection or sent something unasked.
+/// Whether the target has closed the connection or sent unsolicited data.
 bool is_readable(upstream_connection& connection)
 {
     char byte = 0;
@@ -95,7 +96,7 @@
     }
     connection->stream.expires_never();
     connection->idle_since = std::chrono::steady_clock::now();
-    intrusive_ptr_add_ref(connection.get()); // The list holds a count of its own.
+    intrusive_ptr_add_ref(connection.get()); // The list holds its own reference.
     connections.push_back(*connection);
 }
 
--- a/source/traffic/upstream_pool.h
+++ b/source/traffic/upstream_pool.h
@@ -10,12 +10,12 @@
 #include <boost/smart_ptr/intrusive_ptr.hpp>
 #include <boost/smart_ptr/intrusive_ref_counter.hpp>
 
-/// One traffic thread's connections to targets. A connection carries one request at a time, and
-/// one whose request was abandoned is never used again.
+/// A traffic thread's connection pool for targets. A connection carries one request at a time and
+/// is not reused after its request was abandoned.
 namespace almondquay {
 
-/// Bytes of an answer that are held while they are understood. What is longer, as chunk extensions
-/// or trailers without end, is no answer.
+/// Maximum size of the read buffer for responses. Responses that need more, for example because of
+/// endless chunk extensions or trailers, count as malformed.
 constexpr std::size_t max_upstream_buffer_bytes = 128 * 1024;
 
 struct upstream_connection
@@ -26,8 +26,8 @@
     beast::tcp_stream stream;
     beast::flat_buffer buffer{max_upstream_buffer_bytes};
     std::chrono::steady_clock::time_point idle_since;
-    std::chrono::milliseconds idle_limit{0}; ///< that the target has told; 0: none
-    bool reused = false;
+    std::chrono::milliseconds idle_limit{0}; ///< idle timeout announced by the target; 0 if none
+    bool reused = false;                     ///< has been taken from the pool
 };
 
 using connection_ptr = boost::intrusive_ptr<upstream_connection>;
@@ -42,29 +42,29 @@
     std::map<endpoint, boost::intrusive::list<upstream_connection>> idle;
 };
 
-/// Connections kept idle for each target; with the slots in use they stay far below the
-/// connections that a target takes.
+/// Maximum number of idle connections per target. Together with those in use, they stay far below
+/// the number of connections that a target accepts.
 constexpr std::size_t max_idle_connections = 4;
-/// An idle connection older than this may have been forgotten by something on its way.
+/// Connections that were idle for longer may have been dropped by a network device on the path.
 constexpr std::chrono::seconds max_idle_time{10};
-/// A connection is given up so long before the target would close it.
+/// An idle connection is discarded this long before the target would close it.
 constexpr std::chrono::milliseconds idle_margin{1'000};
-/// Data that stays unacknowledged for this long ends a connection that has gone silent.
+/// A connection whose data stays unacknowledged for this long is considered dead and closed.
 constexpr std::chrono::milliseconds unacknowledged_limit{1'000};
 constexpr std::chrono::milliseconds connect_timeout{300};
 
 /// An idle connection, or nullptr if a new one is needed.
 connection_ptr take_idle(upstream_pool& pool, const endpoint& to);
 
-/// A new connection. `problem` is set if the target was not reached; nothing was sent then.
+/// Opens a new connection. Sets `problem` if the target was not reached; nothing was sent then.
 asio::awaitable<connection_ptr> connect(upstream_pool& pool, endpoint to,
                                         std::chrono::steady_clock::time_point deadline,
                                         error_code& problem);
 
-/// Keeps a connection whose answer was read completely.
+/// Returns a connection to the pool after its response was read completely.
 void keep(upstream_pool& pool, const endpoint& to, const connection_ptr& connection);
 
-/// Drops all idle connections to a target, after one of them has failed.
+/// Closes all idle connections to a target, for example after one of them has failed.
 void drop_idle(upstream_pool& pool, const endpoint& to);
 
 } // namespace almondquay
--- a/source/traffic/worker.cpp
+++ b/source/traffic/worker.cpp
@@ -15,14 +15,14 @@
 namespace {
 
 constexpr std::chrono::milliseconds accept_pause{50};
-/// Weight of the newest value in running means.
+/// Weight of the newest value in moving averages.
 constexpr double mean_step = 0.1;
-/// What remains of a service's slowest answer with each faster one.
+/// Decay factor of a service's slowest response time, applied with each response.
 constexpr double slowest_decay = 0.98;
-/// Part of itself by which the estimate of a quantile moves with each value.
+/// Step of a quantile's estimate for each value, as a fraction of the estimate.
 constexpr double quantile_step = 0.2;
-/// The quantile of the times that requests take which stands for warm work without a wait: queues
-/// and cold work only make it longer.
+/// The quantile of response times that is taken as the time per request on a warm target without
+/// queueing: queues and cold targets only make responses slower.
 constexpr double work_quantile = 0.25;
 
 using reuse_port = asio::detail::socket_option::boolean<SOL_SOCKET, SO_REUSEPORT>;
@@ -38,7 +38,8 @@
     }
 }
 
-/// Tells a caller beyond the limit so; the short text fits any socket buffer.
+/// Refuses a caller beyond the connection limit with a response that is short enough to fit into
+/// any socket buffer.
 void turn_away(tcp::socket& socket)
 {
     const auto code = result_code::too_many_connections;
@@ -62,7 +63,7 @@
             co_return;
         }
         if (problem) {
-            // Out of descriptors, most likely. Idle connections to targets can be spared.
+            // Most likely out of file descriptors, so idle connections to targets are closed.
             for (auto& [to, unused] : w.upstreams.idle) {
                 drop_idle(w.upstreams, to);
             }
--- a/source/traffic/worker.h
+++ b/source/traffic/worker.h
@@ -21,14 +21,14 @@
 
 #include <boost/asio/steady_timer.hpp>
 
-/// One traffic thread: its listener, its callers' connections and its view of the fleet.
+/// A traffic thread: its listeners, its callers' connections and its routing snapshot.
 namespace almondquay {
 
-/// What all traffic threads share.
+/// Settings and objects that are passed to each traffic thread.
 struct traffic_context {
     host_id host;
     failure_domain_id domain;
-    shared_secret secret; ///< proves spilled requests between hosts
+    shared_secret secret; ///< signs spilled requests between hosts
     std::vector<endpoint> listen;
     const wire_profile* profile = &own_profile;
     shared_budgets budgets;
@@ -36,10 +36,10 @@
     slot_pool* slots = nullptr;
     metrics::registry* metrics = nullptr;
     traffic_events events;
-    std::uint64_t first_request = 0; ///< this thread numbers its claimed requests from here
+    std::uint64_t first_request = 0; ///< the first number of this thread's claimed requests
 };
 
-/// A claimed request that waits for its verdict.
+/// A request that waits for the verdict on its claim.
 struct verdict_wait {
     explicit verdict_wait(asio::io_context& io) : signal(io, asio::steady_timer::time_point::max())
     {
@@ -49,13 +49,13 @@
     std::optional<claim_verdict_effect> verdict;
 };
 
-/// What requests of a route were seen to need.
+/// Observed processing time and response size of a route's requests.
 struct route_estimate {
-    double work_ms = 100;    ///< what warm work takes without a wait
-    double answer_bytes = 0; ///< a running mean
+    double work_ms = 100;    ///< time per request on a warm target without queueing
+    double answer_bytes = 0; ///< moving average
 };
 
-/// All of it is used on the thread of `io` only.
+/// The state of a traffic thread. Accessed only by the thread that runs `io`.
 struct worker {
     explicit worker(traffic_context shared)
         : context(std::move(shared)), upstreams(io), random(context.first_request + 1)
@@ -78,31 +78,31 @@
     unsigned success_lines = 0;
     std::uint64_t log_lines_dropped = 0;             ///< about failures
     std::uint64_t requests_read = 0;                 ///< for sampling
-    std::map<target_id, unsigned> failing;           ///< failures in a row seen by this thread
-    std::map<std::uint64_t, verdict_wait*> verdicts; ///< by request
+    std::map<target_id, unsigned> failing;           ///< consecutive failures seen by this thread
+    std::map<std::uint64_t, verdict_wait*> verdicts; ///< by request number
     std::uint64_t requests = 0;
-    std::set<request_fingerprint> suspects; ///< in flight at crashes that this thread saw
+    std::set<request_fingerprint> suspects; ///< in flight when this thread saw a target crash
     bool stopping = false;
     std::function<void()> on_drained; ///< called once when the last connection has ended
 };
 
-/// Opens the listener and starts taking connections. Errors: usage_error.
+/// Opens the listeners and starts accepting connections. Errors: usage_error.
 result<done> start_listening(worker& w);
 
-/// Takes no more connections, closes idle ones and calls `on_drained` after the last request.
+/// Stops accepting connections, closes idle ones and calls `on_drained` after the last request.
 void stop_listening(worker& w, std::function<void()> on_drained);
 
 /// Wakes the request that waits for this verdict.
 void take_verdict(worker& w, const claim_verdict_effect& verdict);
 
-/// Takes the time of an answer into the slowest one of its service, which is forgotten slowly.
+/// Updates the slowest recent response time of a service, which decays with each response.
 void note_answer(worker& w, const std::string& service, std::chrono::steady_clock::duration took);
 
-/// Takes what one request took or answered into the estimates.
+/// Update a route's estimates with the time or response size of one request.
 void note_work(route_estimate& estimate, std::chrono::steady_clock::duration took);
 void note_answer_size(route_estimate& estimate, double bytes);
 
-/// Passes on failures and the first success after failures.
+/// Reports failures, and the first success after failures, to the control thread.
 void report_target(worker& w, const target_id& target, target_evidence evidence);
 
 } // namespace almondquay
