--- a/source/http/client.cpp
+++ b/source/http/client.cpp
@@ -26,7 +26,7 @@
 
 constexpr std::size_t max_idle_per_endpoint = 8;
 constexpr std::size_t max_response_bytes = 16UL * 1024 * 1024;
-/// Connections idle for longer are not used again; the other end may have dropped them.
+/// Connections idle for longer are not reused; the peer may have dropped them.
 constexpr std::chrono::seconds max_idle{20};
 
 struct idle_connection {
@@ -138,8 +138,8 @@
         stream->expires_after(timeout);
         a = co_await exchange(*stream, message);
     }
-    // A kept connection may have been closed by the other end meanwhile. Only reads are sent
-    // anew, since nobody can tell whether anything else has arrived.
+    // The peer may have closed a reused connection in the meantime. Only GET requests are resent,
+    // since any other request may already have been processed.
     const bool is_stale = a.problem && a.problem != beast::error::timeout;
     if (!stream || (is_stale && r.method == "GET")) {
         a = attempt{};
@@ -155,7 +155,7 @@
     }
     if (a.problem == beast::error::timeout) {
         state->idle.erase(
-            to); // Other connections to a silent end have most likely gone silent too.
+            to); // Other connections to an unresponsive peer are most likely dead too.
     }
     if (a.answer && a.keep_alive) {
         keep_idle(*state, to, std::move(stream));
--- a/source/http/client.h
+++ b/source/http/client.h
@@ -11,12 +11,12 @@
 
 namespace almondquay::http {
 
-/// Called once with the answer. Errors: peer_unreachable if nothing was sent, peer_answer_lost
+/// Called once with the response. Errors: peer_unreachable if nothing was sent, peer_answer_lost
 /// if the request may have arrived.
 using response_handler = std::function<void(result<response>)>;
 
-/// Sends small requests over kept-alive connections. All calls and handlers run on the thread
-/// of the io_context. Answers that arrive after their timeout are dropped with their connection.
+/// Sends small requests over persistent connections. All calls and handlers run on the thread of
+/// the io_context. After a timeout the connection is closed and a late response is discarded.
 class client {
 public:
     static std::unique_ptr<client> create(boost::asio::io_context& io);
--- a/source/http/message.h
+++ b/source/http/message.h
@@ -4,7 +4,7 @@
 #include <string_view>
 #include <vector>
 
-/// Small whole messages, for everything but callers' streamed traffic.
+/// Small, fully buffered messages for everything except the streamed traffic of callers.
 namespace almondquay::http {
 
 struct header {
@@ -14,7 +14,7 @@
 
 struct request {
     std::string method;
-    std::string path; ///< with the query, as it stands in the request line
+    std::string path; ///< including the query, as in the request line
     std::vector<header> headers;
     std::string body;
 };
@@ -25,7 +25,7 @@
     std::string body;
 };
 
-/// Bytes of a message that are held while they are understood, besides its body.
+/// Maximum size of the read buffer for a message, not counting its body.
 constexpr std::size_t max_message_buffer_bytes = 256 * 1024;
 
 inline constexpr unsigned status_ok = 200;
@@ -43,13 +43,13 @@
 /// The value of the first header of this name, ignoring case; empty if there is none.
 std::string_view header_of(const std::vector<header>& headers, std::string_view name);
 
-/// A request path taken apart: "/lookup?service=ledger" has one parameter.
+/// A parsed request path: "/lookup?service=ledger" has one parameter.
 struct path_parts {
     std::string path;
     std::vector<header> parameters;
 };
 
-/// Splits path and query and undoes percent encoding; a broken escape stays as it is.
+/// Splits path and query and decodes percent-encoding; a malformed escape is left unchanged.
 path_parts split_path(std::string_view path);
 
 /// Escapes all but letters, digits and "-_.~/" for use in a path or query.
--- a/source/http/server.cpp
+++ b/source/http/server.cpp
@@ -25,8 +25,8 @@
 constexpr std::chrono::seconds request_timeout{30};
 constexpr std::chrono::milliseconds accept_pause{50};
 
-/// Wakes the connection's coroutine when its answer is there. The handler may answer before
-/// the coroutine waits.
+/// Wakes the connection's coroutine when the handler has responded, which may happen before the
+/// coroutine waits.
 struct pending_answer {
     explicit pending_answer(asio::io_context& io)
         : signal(io, asio::steady_timer::time_point::max())
@@ -141,13 +141,14 @@
             co_return;
         }
         if (problem) {
-            // Out of descriptors, most likely: others must close before more can be taken.
+            // Most likely out of file descriptors: others must be closed before more connections
+            // can be accepted.
             asio::steady_timer pause(state->io, accept_pause);
             co_await pause.async_wait(asio::redirect_error(asio::use_awaitable, problem));
             continue;
         }
         if (state->connections >= state->limits.max_connections) {
-            continue; // The socket's end of scope closes it.
+            continue; // The destructor of the socket closes it.
         }
         asio::co_spawn(state->io, serve_connection(state, std::move(socket)), asio::detached);
     }
--- a/source/http/server.h
+++ b/source/http/server.h
@@ -10,21 +10,21 @@
 
 namespace almondquay::http {
 
-/// Sends the answer of one request; may be called later, but only once and on the same thread.
+/// Sends the response to one request; may be called later, but only once and on the same thread.
 using responder = std::function<void(response)>;
 using request_handler = std::function<void(const request&, responder)>;
 
-/// Bounds on what one connection may send.
+/// Limits for each message, and for the number of open connections.
 struct server_limits {
     std::size_t max_header_bytes = 16UL * 1024;
     std::size_t max_body_bytes = 2UL * 1024 * 1024;
     std::size_t max_connections = 1'000;
 };
 
-/// Serves small whole requests, one at a time on each connection.
+/// Serves small, fully buffered requests, one at a time on each connection.
 class server {
 public:
-    /// Listens at `at`. Errors: usage_error if the address cannot be bound.
+    /// Listens on `at`. Errors: usage_error if the address cannot be bound.
     static result<std::unique_ptr<server>> create(boost::asio::io_context& io, const endpoint& at,
                                                   request_handler handler,
                                                   server_limits limits = {});
@@ -32,7 +32,7 @@
     server(const server&) = delete;
     server& operator=(const server&) = delete;
 
-    /// Takes no further connections; running requests are still answered.
+    /// Stops accepting connections; requests in progress are still answered.
     void stop();
 
     struct shared_state;
