--- a/unit_tests/traffic/placement_test.cpp
+++ b/unit_tests/traffic/placement_test.cpp
@@ -40,11 +40,11 @@
 
 constexpr clock::time_point start{seconds(100)};
 
-/// A target with slots, a queue and a memory of the objects that it handled last; what the bench
-/// shows of work on objects: warm work takes 0.3 of cold work.
+/// Simulated target with slots, a queue and a cache of the objects that it handled last. As
+/// measured in benchmarks, a request for a warm object takes 0.3 times as long as for a cold one.
 struct model_target {
     std::array<clock::time_point, 3> free_at{};
-    std::list<std::uint64_t> warm; ///< latest first
+    std::list<std::uint64_t> warm; ///< most recently used first
     std::vector<clock::time_point> ends;
 
     std::size_t waiting(clock::time_point now) const
@@ -60,7 +60,7 @@
 constexpr std::size_t kept_objects = 21;
 constexpr std::size_t queue_limit = 9;
 
-/// Runs a request and returns its end, or nothing if the queue is full.
+/// Runs a request and returns the time at which it ends, or nothing if the queue is full.
 std::optional<clock::time_point> run(model_target& t, std::uint64_t object, clock::time_point now)
 {
     if (t.waiting(now) >= queue_limit) {
@@ -78,7 +78,7 @@
     return slot;
 }
 
-/// What callers got in a played load.
+/// What callers got under a simulated load.
 struct load_result {
     std::size_t requests = 0;
     std::size_t in_time = 0;
@@ -91,13 +91,14 @@
     std::size_t host;
     std::size_t target;
     milliseconds took;
-    std::uint32_t waiting; ///< in the queue when the answer left
+    std::uint32_t waiting; ///< in the queue when the response was sent
 };
 
 enum class strategy { by_object, least_in_flight, any };
 
-/// Plays Poisson arrivals of `rate(t)` requests a second from 12 hosts, each of which knows only
-/// its own requests and the reports in its own answers. Counts the requests from `counted_from` on.
+/// Simulates Poisson arrivals of `rate(t)` requests per second at 12 hosts, each of which knows
+/// only its own requests and the load reports in its own responses. Counts the requests from
+/// `counted_from` on.
 load_result play(strategy how, const std::function<double(seconds)>& rate, seconds length,
                  seconds counted_from, bool starts_overloaded = false)
 {
@@ -173,8 +174,8 @@
     return result;
 }
 
-/// Plays requests with large answers from one region, with `near` targets of its own and `far` ones
-/// elsewhere that others use half. Counts what callers get after the first seconds.
+/// Simulates requests with large responses from one region that has `near` targets; `far` targets
+/// are in another region. Counts the requests after a warm-up.
 load_result play_large_answers(std::size_t near, std::size_t far, double rate, seconds length)
 {
     constexpr std::size_t hosts = 65;
@@ -337,8 +338,9 @@
         }
     }
 
-    /// Found at large inc-593a: a region with 6 of the 66 targets of its service refused callers
-    /// while the other targets had room. No caller is refused while a target is idle.
+    /// Guards against the failure seen in inc-593a: a region with 6 of the 66 targets of its
+    /// service refused callers while the other targets had free capacity. No caller may be refused
+    /// while a target is idle.
     void large_answers_leave_a_region_that_has_no_room()
     {
         constexpr double slots_of_near = 6 * 3;
@@ -436,7 +438,8 @@
         CPPUNIT_ASSERT(estimate.work_ms > 100 && estimate.work_ms < 400);
     }
 
-    /// 165 requests a second are 106 Erlang of cold work on 96 slots, 32 of warm work.
+    /// On 96 slots, 165 requests per second are a load of 106 erlangs if all targets are cold and
+    /// of 32 erlangs if all are warm.
     void usual_load_is_served_in_time()
     {
         const auto by_object = play(strategy::by_object, usual_rate, seconds(30), seconds(5));
@@ -447,7 +450,8 @@
         CPPUNIT_ASSERT(part_in_time(by_object) > 2 * part_in_time(random));
     }
 
-    /// 1.7 times the usual load for three seconds; callers are served in time again from 2 s after.
+    /// The load rises to 1.7 times the usual rate for three seconds. Callers must be served in time
+    /// again 2 s after the burst.
     void a_burst_does_not_outlast_itself()
     {
         const auto burst = [](seconds passed) {
@@ -457,8 +461,8 @@
         CPPUNIT_ASSERT(part_in_time(after) >= 0.9);
     }
 
-    /// All hosts start against targets whose queues are full of cold work, as after all of them
-    /// lost power: nothing in the policy may keep that state going.
+    /// All hosts start with targets whose queues are full of cold work, as after a power failure of
+    /// all of them. The placement policy must not sustain that state.
     void full_queues_of_cold_work_drain()
     {
         const auto after = play(strategy::by_object, usual_rate, seconds(30), seconds(10), true);
--- a/unit_tests/traffic/slot_pool_test.cpp
+++ b/unit_tests/traffic/slot_pool_test.cpp
@@ -113,8 +113,8 @@
         CPPUNIT_ASSERT(!pool->has_usable_target("s"));
     }
 
-    /// Placement decides about shared targets; to look each one up in the pool with each snapshot
-    /// took milliseconds with 924 targets.
+    /// Shared targets are chosen by placement and must not enter the pool: looking each one up for
+    /// every snapshot took milliseconds with 924 targets.
     void shared_targets_have_no_slots_of_their_own_here()
     {
         const auto pool = slot_pool::create();
