--- a/source/claims/claim_effect.h
+++ b/source/claims/claim_effect.h
@@ -9,23 +9,24 @@
 #include <variant>
 #include <vector>
 
-/// What the claim reducer wants done and what can happen to it.
+/// Input events and output effects of the claim reducer.
 namespace almondquay {
 
-/// Numbers a claim within one life of this host; the traffic side uses it as a handle.
+/// Identifies a claim within one incarnation of this host; the traffic threads use it as a handle.
 using claim_number = std::uint64_t;
 
-/// Names one call of the platform, so that an answer that comes late or twice is told apart from
-/// the one that is waited for.
+/// Correlation id of one platform call, so that late and duplicate responses are told apart from
+/// the awaited one.
 using store_call = std::uint64_t;
 
-/// Reads one segment. Ends in a claim_read_event.
+/// Reads one segment. Completes with a claim_read_event.
 struct read_claims_effect {
     store_call call = 0;
     std::string key;
 };
 
-/// Writes one segment if it has version `expected`, or creates it. Ends in a claim_written_event.
+/// Writes one segment if it still has version `expected`; without a version, creates it. Completes
+/// with a claim_written_event.
 struct write_claims_effect {
     store_call call = 0;
     std::string key;
@@ -33,13 +34,13 @@
     std::string body;
 };
 
-/// Sends a message to a host; nobody waits for it.
+/// Sends a message to a host, fire and forget.
 struct claim_message_effect {
     host_id to;
     claim_message message;
 };
 
-/// Tells the waiting request what to do. Given at most once for each number.
+/// Resolves the waiting request. Emitted at most once for each claim number.
 struct claim_verdict_effect {
     std::uint64_t request = 0;
     claim_number number = 0;
@@ -50,15 +51,15 @@
                                   claim_verdict_effect>;
 using claim_effects = std::vector<claim_effect>;
 
-/// A request that must not repeat has arrived at this host.
+/// A non-repeatable request has arrived at this host.
 struct claim_wanted_event {
-    std::uint64_t request = 0; ///< the traffic side's name for it
+    std::uint64_t request = 0; ///< the request's id on the traffic thread
     claim_key key{};
     std::uint64_t digest = 0;
     monotonic_time deadline{};
 };
 
-/// A granted request has ended.
+/// A granted request has completed.
 struct claim_finished_event {
     claim_number number = 0;
     claim_end end = claim_end::unknown;
--- a/source/claims/claim_key.cpp
+++ b/source/claims/claim_key.cpp
@@ -31,7 +31,7 @@
         if (is_canonical && (key.data[version_byte] >> 4U) == time_ordered_version) {
             return key;
         }
-    } catch (const std::runtime_error&) { // The library's way to refuse a text.
+    } catch (const std::runtime_error&) { // Boost.Uuid throws on malformed text.
     }
     return error{result_code::key_malformed, std::string(text.substr(0, text_length))};
 }
@@ -67,7 +67,7 @@
     if (minted_ms(key) > now_ms + static_cast<std::uint64_t>(max_key_lead.count())) {
         return error{result_code::key_from_future, text_of(key)};
     }
-    // The oldest slice may be written over by the newest one at any moment.
+    // The newest slice reuses the oldest one's objects and may overwrite them at any moment.
     if (slice_of(key).value + retained_slices <= slice_at(now_ms) + 1) {
         return error{result_code::key_too_old, text_of(key)};
     }
--- a/source/claims/claim_lane.cpp
+++ b/source/claims/claim_lane.cpp
@@ -60,8 +60,8 @@
     claim_verdict verdict;
 };
 
-/// What the claim's holder has told of its end, though it is not durable yet. That it ran, or may
-/// have run, is true all the same; that it did not run must be durable before it frees the key.
+/// An outcome that the claim's host has reported but that is not durable yet. `ran` and `unknown`
+/// can be used before they are durable; `not_run` must be durable before it frees the key.
 const outcome_record* find_told_outcome(const claim_lane& lane, const claim_id& id)
 {
     const auto found =
@@ -108,7 +108,8 @@
     return settle_against(lane, entry->second, want, alive);
 }
 
-/// Answers the claims that need no write. Returns whether one of them needs a fresh read.
+/// Answers the claims that need no write. Returns whether a remaining claim needs the log to be
+/// read again.
 bool answer_settled(claim_lane& lane, const live_lives& alive, lane_output& out)
 {
     bool look_again = false;
@@ -125,7 +126,7 @@
     return look_again;
 }
 
-/// Acknowledges the outcomes that the log already has.
+/// Acknowledges outcomes that are already in the log or can no longer affect it.
 void answer_kept_outcomes(claim_lane& lane, lane_output& out)
 {
     const auto is_kept = [&](const pending_outcome& p) {
@@ -144,7 +145,7 @@
     }
 }
 
-/// Acknowledges the outcomes of a batch that is durable now.
+/// Acknowledges the outcomes of the batch that has just become durable.
 void answer_written_outcomes(claim_lane& lane, lane_output& out)
 {
     for (const auto& record : lane.batch) {
@@ -181,7 +182,7 @@
         const auto entry = lane.log.entries.find(want.claim.key);
         const bool is_free =
             entry == lane.log.entries.end() || entry->second.end == claim_end::not_run;
-        // A second claim of the same key waits and is then answered from the log.
+        // One claim per key and batch: a second one waits and is then answered from the log.
         if (is_free && batch.size() < max_batch_records && keys.insert(want.claim.key).second) {
             batch.emplace_back(want.claim);
         }
@@ -293,7 +294,7 @@
     }
     if (!succeeded(version)) {
         lane.batch.clear();
-        // Whatever happened, only the log itself can tell whether the batch is in it.
+        // Even a failed write may have taken effect, so the log is read again before the next one.
         if (code_of(version) == result_code::platform_conflict) {
             start_read(lane, out);
         } else {
--- a/source/claims/claim_lane.h
+++ b/source/claims/claim_lane.h
@@ -8,10 +8,11 @@
 #include <map>
 #include <vector>
 
-/// One log's writer: gathers what arrives while a write is under way into the next write.
+/// The writer of one claim log. Records that arrive while a write is in flight are batched into the
+/// next write.
 namespace almondquay {
 
-/// Hosts with the life in which they are.
+/// The current incarnation of each live host.
 using live_lives = std::map<host_id, incarnation>;
 
 struct lane_id {
@@ -21,25 +22,25 @@
     auto operator<=>(const lane_id&) const = default;
 };
 
-/// A claim that waits to be made durable.
+/// A claim that is waiting to become durable.
 struct pending_want {
     claim_record claim;
     host_id reply_to;
     monotonic_time deadline{};
-    bool is_settled_view = false; ///< the log has been read or written since this arrived
+    bool is_settled_view = false; ///< the log has been read or written since the claim arrived
 };
 
-/// An outcome that waits to be made durable.
+/// An outcome that is waiting to become durable.
 struct pending_outcome {
     outcome_record outcome;
     host_id reply_to;
 };
 
 enum class lane_stage {
-    reading, ///< a read is under way
-    ready,   ///< the whole log is known as of some moment
-    writing, ///< a write is under way
-    pausing, ///< the platform failed; the log is read again after a pause
+    reading, ///< a read is in flight
+    ready,   ///< the whole log has been read; the local copy may be outdated
+    writing, ///< a write is in flight
+    pausing, ///< backing off after a platform failure; the log is read again afterwards
 };
 
 struct claim_lane {
@@ -48,16 +49,18 @@
     lane_stage stage = lane_stage::pausing;
     std::deque<pending_want> wants;
     std::deque<pending_outcome> outcomes;
-    std::vector<log_record> batch; ///< under way
-    store_call call = 0;           ///< under way
+    std::vector<log_record> batch; ///< the records of the write in flight
+    store_call call = 0;           ///< the platform call in flight
     std::size_t batch_bytes = 0;
-    bool outcomes_due = false; ///< outcomes wait for a claim's write, at most until the next tick
+    /// Write outcomes although no claim shares the write. Set by the tick, so outcomes wait for a
+    /// claim at most until the next tick.
+    bool outcomes_due = false;
     unsigned failures = 0;
     monotonic_time retry_at{};
     monotonic_time last_used{};
 };
 
-/// More claims than this in one lane are refused at once.
+/// Queue limit of one log writer; further claims are refused at once.
 constexpr std::size_t max_lane_wants = 2'048;
 constexpr std::chrono::milliseconds shortest_lane_pause{50};
 constexpr std::chrono::milliseconds longest_lane_pause{2'000};
@@ -74,9 +77,9 @@
     claim_id id;
 };
 
-/// What a lane wants done.
+/// What one step of a log writer produces.
 struct lane_output {
-    store_call* next_call = nullptr; ///< the host's counter of calls
+    store_call* next_call = nullptr; ///< the host's counter of platform calls
     claim_effects store;             ///< reads and writes only
     std::vector<lane_verdict> verdicts;
     std::vector<lane_outcome_kept> kept;
@@ -85,8 +88,8 @@
 void add_want(claim_lane& lane, pending_want want, lane_output& out);
 void add_outcome(claim_lane& lane, pending_outcome outcome);
 
-/// Settles what can be settled and starts the next read or write if none is under way.
-/// `alive` are the hosts whose claims may still be running.
+/// Answers what the local copy of the log allows and starts the next read or write if none is in
+/// flight. `alive` are the hosts whose claims may still be running.
 void advance(claim_lane& lane, const live_lives& alive, monotonic_time now, lane_output& out);
 
 void take_lane_read(claim_lane& lane, const result<stored_object>& object, monotonic_time now,
@@ -94,10 +97,10 @@
 void take_lane_write(claim_lane& lane, const result<object_version>& version, monotonic_time now,
                      lane_output& out);
 
-/// Gives up on expired claims and lets waiting outcomes go.
+/// Refuses claims past their deadline and makes pending outcomes due for writing.
 void tick_lane(claim_lane& lane, monotonic_time now, lane_output& out);
 
-/// The object that the lane reads or writes at present.
+/// The key of the segment object that is currently read or appended to.
 std::string current_segment_key(const claim_lane& lane);
 
 } // namespace almondquay
--- a/source/claims/claim_log.cpp
+++ b/source/claims/claim_log.cpp
@@ -54,7 +54,7 @@
     }
     const auto decoded = decode_segment(object->body);
     if (!succeeded(decoded) || value_of(decoded).slice > slice) {
-        // An object that cannot be read proves nothing about its keys, so none may run.
+        // An undecodable object may hold a claim of any key, so none of its keys may run.
         log.expired = true;
         return segment_use::expired;
     }
@@ -65,7 +65,7 @@
         log.last.bytes = 0;
         return segment_use::append_here;
     }
-    // Records only ever get appended, so those known already are a prefix.
+    // Segments are append-only, so the records that are already known form a prefix.
     for (std::size_t i = log.last.records.size(); i < segment.records.size(); ++i) {
         apply(log, segment.records[i]);
     }
--- a/source/claims/claim_message.cpp
+++ b/source/claims/claim_message.cpp
@@ -21,7 +21,7 @@
             value.at("number").get<std::uint64_t>()};
 }
 
-/// Bodies may hold any bytes, which JSON strings cannot; numbers can.
+/// The body is encoded as an array of byte values, since JSON strings cannot hold arbitrary bytes.
 json answer_json(const claim_answer& a)
 {
     return {{"status", a.status},
@@ -41,7 +41,7 @@
 {
     auto key = parse_claim_key(value.get<std::string>());
     if (!succeeded(key)) {
-        throw json::other_error::create(501, "bad key", nullptr);
+        throw json::other_error::create(501, "invalid claim key", nullptr);
     }
     return value_of(key);
 }
@@ -110,7 +110,7 @@
 {
     const auto end = value.get<int>();
     if (end < 0 || end > static_cast<int>(claim_end::unknown)) {
-        throw json::other_error::create(501, "bad end", nullptr);
+        throw json::other_error::create(501, "claim outcome out of range", nullptr);
     }
     return static_cast<claim_end>(end);
 }
--- a/source/claims/claim_message.h
+++ b/source/claims/claim_message.h
@@ -8,23 +8,23 @@
 #include <string_view>
 #include <variant>
 
-/// What hosts tell each other about claims. Each message may be lost, late, repeated or crossed:
-/// all are named by their claim id and taking one twice changes nothing.
+/// Messages between hosts about claims. They may be lost, delayed, duplicated or reordered, so each
+/// carries its claim id and is handled idempotently.
 namespace almondquay {
 
-/// The work is this claim's to run, once.
+/// The request may be run once, under this claim.
 struct claim_granted {
     bool operator==(const claim_granted&) const = default;
 };
 
-/// The first request with this key ran; this is its answer.
+/// The first request with this key ran; `answer` is its recorded response.
 struct claim_replayed {
     claim_answer answer;
 
     bool operator==(const claim_replayed&) const = default;
 };
 
-/// The request was not run and will not be.
+/// The request was not run under this claim and will not be.
 struct claim_refused {
     result_code code = result_code::ok;
 
@@ -33,7 +33,7 @@
 
 using claim_verdict = std::variant<claim_granted, claim_replayed, claim_refused>;
 
-/// To a bucket's owner: make this claim durable.
+/// To a bucket's owner: request to make this claim durable.
 struct want_message {
     claim_record claim;
     std::chrono::milliseconds time_left{0};
@@ -41,7 +41,7 @@
     bool operator==(const want_message&) const = default;
 };
 
-/// From a bucket's owner: what became of the claim.
+/// From a bucket's owner: the decision on a claim.
 struct verdict_message {
     claim_id id;
     claim_key key{};
@@ -50,14 +50,14 @@
     bool operator==(const verdict_message&) const = default;
 };
 
-/// To a bucket's owner: make this outcome durable.
+/// To a bucket's owner: request to make this outcome durable.
 struct outcome_message {
     outcome_record outcome;
 
     bool operator==(const outcome_message&) const = default;
 };
 
-/// From a bucket's owner: the outcome is durable.
+/// From a bucket's owner: acknowledges that the outcome is durable.
 struct outcome_kept_message {
     claim_id id;
 
@@ -71,7 +71,7 @@
     bool operator==(const claim_message&) const = default;
 };
 
-/// JSON.
+/// Encodes as JSON.
 std::string encode(const claim_message& message);
 
 /// Errors: peer_message_malformed.
--- a/source/claims/claim_record.cpp
+++ b/source/claims/claim_record.cpp
@@ -10,7 +10,7 @@
 
 using json = nlohmann::json;
 
-/// Records are arrays that start with their kind, to keep them small.
+/// Records are encoded as arrays that begin with their kind, which is smaller than objects.
 enum class record_kind { claim = 0, outcome = 1 };
 
 json key_to_json(const claim_key& key)
@@ -23,7 +23,7 @@
     const auto& bytes = value.get_binary();
     claim_key key{};
     if (bytes.size() != sizeof key.data) {
-        throw json::other_error::create(501, "a key has 16 bytes", nullptr);
+        throw json::other_error::create(501, "claim key is not 16 bytes long", nullptr);
     }
     std::ranges::copy(bytes, std::begin(key.data));
     return key;
@@ -62,7 +62,7 @@
     const auto end = value.at(5).get<int>();
     if (kind != static_cast<int>(record_kind::outcome) || end < 0 ||
         end > static_cast<int>(claim_end::unknown)) {
-        throw json::other_error::create(501, "unknown record", nullptr);
+        throw json::other_error::create(501, "unknown record kind or claim outcome", nullptr);
     }
     const auto& body = value.at(8).get_binary();
     return outcome_record{key,
--- a/source/claims/claim_record.h
+++ b/source/claims/claim_record.h
@@ -10,10 +10,10 @@
 #include <variant>
 #include <vector>
 
-/// What the claim log consists of, and its form in the platform.
+/// The records of the claim log and their stored encoding.
 namespace almondquay {
 
-/// Names one attempt of one host's life to claim; never used twice.
+/// Identifies one claim attempt by one incarnation of a host; never reused.
 struct claim_id {
     host_id host;
     incarnation life;
@@ -22,26 +22,27 @@
     auto operator<=>(const claim_id&) const = default;
 };
 
-/// "I alone may run this key." Durable before the first byte goes to a target.
+/// Gives one host the exclusive right to run a key. Durable before the first byte is sent to a
+/// target.
 struct claim_record {
     claim_key key{};
     claim_id id;
-    std::uint64_t digest = 0; ///< of method, path and body
+    std::uint64_t digest = 0; ///< hash of method, path and body
 
     bool operator==(const claim_record&) const = default;
 };
 
 /// How a claimed request ended.
 enum class claim_end {
-    not_run, ///< proved; the key may be claimed again, but never by the same claim
+    not_run, ///< known for certain; the key may be claimed again, under a new claim id
     ran,
-    unknown, ///< may have run; never run again
+    unknown, ///< may have run, so the key is never run again
 };
 
-/// Answers up to this size are kept for callers that ask again.
+/// Response bodies up to this size are stored and replayed to callers that retry.
 constexpr std::size_t max_kept_body_bytes = 1'024;
 
-/// The first answer to a key.
+/// The response to the first request with a key.
 struct claim_answer {
     unsigned status = 0;
     std::string content_type;
@@ -55,7 +56,7 @@
     claim_key key{};
     claim_id id;
     claim_end end = claim_end::unknown;
-    claim_answer answer; ///< only if it ran
+    claim_answer answer; ///< set only if it ran
 
     bool operator==(const outcome_record&) const = default;
 };
@@ -70,21 +71,23 @@
     bool operator==(const log_segment&) const = default;
 };
 
-/// A segment of this size takes no more records; the log goes on in the next one.
+/// A segment that reaches this size is full; the log continues in the next one.
 constexpr std::size_t full_segment_bytes = 32UL * 1024;
-/// The most records that one write appends; keeps a segment far below the platform's megabyte.
+/// The most records that one write appends; keeps segments far below the platform's object size
+/// limit of one megabyte.
 constexpr std::size_t max_batch_records = 256;
 constexpr std::uint32_t max_segments = 512;
 
-/// CBOR.
+/// Encodes as CBOR.
 std::string encode(const log_segment& segment);
 
 /// Errors: platform_bad_answer.
 result<log_segment> decode_segment(std::string_view bytes);
 
-/// "claims/3/717/0": the objects of a slice are those of its predecessor `retained_slices` ago,
-/// so that the number of objects is bounded and none is ever deleted. A host that slept through a
-/// slice's whole retention cannot write to it: the object's version has moved on.
+/// The object key of a segment, such as "claims/3/717/0". A slice reuses the objects of the slice
+/// `retained_slices` before it, so the number of objects is bounded and none is ever deleted. A
+/// host that was suspended for a slice's whole retention cannot write to it any more, because the
+/// object's version has changed.
 std::string segment_key(bucket_number bucket, slice_number slice, std::uint32_t segment);
 
 } // namespace almondquay
--- a/source/claims/claim_reducer.cpp
+++ b/source/claims/claim_reducer.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// One call of the reducer: its parts have the same lifetime and always go together.
+/// The context of one reducer call.
 struct step {
     claim_state& state;
     const claim_world& world;
@@ -102,8 +102,8 @@
                                   refused->code == result_code::claim_store_full);
 }
 
-/// Ends the waiting of one request. A claim that was refused for want of an answer may still
-/// become durable, so it is recorded as not run, which makes its key free again.
+/// Resolves a waiting request. A claim that was refused because the log could not be written may
+/// still become durable, so it is recorded as not run, which frees its key.
 void end_waiting(step& s, const waiting_claim& w, const claim_verdict& verdict)
 {
     const auto number = w.claim.id.number;
@@ -119,9 +119,9 @@
     }
 }
 
-/// A claim that became durable after its request was answered otherwise, as when its message was
-/// late, holds a key that nobody runs. Only claims that are known to have been refused are given
-/// back: one that was forgotten may have run.
+/// A claim can become durable after its request has been refused, for instance when its message was
+/// delayed, and then holds a key that nobody runs. Only claims that are known to have been refused
+/// are released: one that is no longer in memory may have run.
 void return_unwanted_grant(step& s, const claim_id& id, const claim_key& key,
                            const claim_verdict& verdict)
 {
@@ -154,7 +154,7 @@
     }
 }
 
-/// Passes on what a lane has decided. Verdicts for this host change its state at once.
+/// Advances a log writer and dispatches its output. Verdicts for this host are applied at once.
 void run_lane(step& s, claim_lane& lane, lane_output output)
 {
     output.next_call = &s.state.next_call;
@@ -176,7 +176,7 @@
     }
 }
 
-/// What this host can tell about the key without asking anybody.
+/// The verdict that local records allow, if any, without a read of the log.
 std::optional<claim_verdict> verdict_from_own(const claim_state& state, const claim_record& claim)
 {
     const auto found = state.own.find(claim.key);
--- a/source/claims/claim_reducer.h
+++ b/source/claims/claim_reducer.h
@@ -8,14 +8,16 @@
 #include <optional>
 #include <set>
 
-/// Work that must not repeat: decides who may run a key, once, and what a resend is told.
+/// At-most-once execution of non-repeatable requests: decides which host may run a key and how
+/// retries of the same key are answered.
 ///
-/// Right by construction: a claim is granted only after the log, which changes by conditional
-/// updates alone, has it as the key's first. Owners of buckets only save the platform calls; two
-/// hosts that both take themselves for the owner lose a conditional update and nothing else.
+/// Safety rests on the log alone: a claim is granted only after it is durable in the log as the
+/// key's first, and the log changes by conditional updates only. Bucket owners merely reduce
+/// platform calls: if two hosts both take themselves for the owner, one of them fails a conditional
+/// update and nothing else happens.
 namespace almondquay {
 
-/// What the claim reducer must know of the world.
+/// This host's identity and its view of the live hosts.
 struct claim_world {
     host_id self;
     incarnation life;
@@ -27,11 +29,11 @@
     std::uint64_t request = 0;
     claim_record claim;
     monotonic_time deadline{};
-    monotonic_time direct_at{}; ///< when to stop waiting for the owner and write by itself
+    monotonic_time direct_at{}; ///< when to write to the log without waiting for the owner
     bool is_direct = false;
 };
 
-/// What this host itself knows of a key that it was granted.
+/// Local record of a key that was granted to this host.
 struct own_claim {
     claim_id id;
     std::uint64_t digest = 0;
@@ -52,20 +54,22 @@
     std::map<claim_key, own_claim> own;
     std::deque<claim_key> own_order; ///< oldest first
     std::map<claim_number, unsaved_outcome> unsaved;
-    std::set<claim_number> refused; ///< answered otherwise than by a grant; they never run
+    std::set<claim_number> refused; ///< claims resolved without a grant; they never run
 };
 
-/// How long a host waits for a bucket's owner before it writes the claim by itself.
+/// How long a host waits for a bucket's owner before it writes the claim to the log itself.
 constexpr std::chrono::milliseconds owner_patience{400};
-/// A claim that is not durable by then is refused, so that its request still has time to run.
+/// A claim that is not durable within this time is refused, so that the wait does not use up the
+/// request's time to run.
 constexpr std::chrono::milliseconds claim_patience{2'000};
 constexpr std::chrono::milliseconds outcome_resend_interval{500};
-/// Own claims and unsaved outcomes kept in memory; beyond, the oldest are left to the log, and
-/// resends of lost ones end as unknown.
+/// Limit of own claims and of unsaved outcomes in memory. Beyond it the oldest are dropped and only
+/// the log can answer for them; retries of a key whose outcome was dropped get
+/// claim_outcome_unknown.
 constexpr std::size_t max_own_claims = 20'000;
 constexpr std::chrono::seconds lane_idle_limit{120};
 
-/// Changes the state by one event and returns what is to be done.
+/// Applies one event to the state and returns the resulting effects.
 claim_effects reduce_claims(claim_state& state, const claim_world& world, const claim_event& e,
                             monotonic_time now, wall_time wall);
 
--- a/unit_tests/claims/claim_matrix_test.cpp
+++ b/unit_tests/claims/claim_matrix_test.cpp
@@ -13,11 +13,11 @@
 
 constexpr auto first_fault = static_cast<int>(claim_fault::lost_before);
 constexpr auto last_fault = static_cast<int>(claim_fault::last);
-/// Steps that the fault-free scenario takes until its first answers are durable; later steps
-/// only repeat the same kinds.
+/// Number of steps that the fault-free scenario takes until its first outcomes are durable; later
+/// steps are only of the same kinds.
 constexpr std::uint32_t matrix_steps = 24;
 
-/// What all runs of one test found together.
+/// Aggregated results of all scenarios of one test.
 struct matrix_report {
     std::uint64_t scenarios = 0;
     std::uint64_t answered = 0;
@@ -47,7 +47,7 @@
     }
 }
 
-/// Runs all plans on a few threads; the result does not depend on their number.
+/// Runs all plans on a thread pool; the result does not depend on the number of threads.
 matrix_report run_all(const std::vector<fault_plan>& plans)
 {
     constexpr std::size_t threads = 4;
@@ -131,8 +131,8 @@
         CPPUNIT_ASSERT(report.answered);
     }
 
-    /// Found by the random plans: a claim that arrived at the owner after its request had been
-    /// refused by another way became durable and held a key that nobody ran.
+    /// Regression test, found by the random fault plans: a claim that reached the owner after its
+    /// request had already been refused became durable and held a key that nobody ran.
     void late_claim_of_an_answered_request_is_given_back()
     {
         const fault_plan plan{{0, claim_fault::late_answer},    {5, claim_fault::host_replaced},
--- a/unit_tests/claims/claim_world.cpp
+++ b/unit_tests/claims/claim_world.cpp
@@ -19,13 +19,13 @@
 constexpr milliseconds work_time{20};
 constexpr milliseconds call_timeout{1'000};
 constexpr milliseconds late_by{6'000};
-/// A repeated answer arrives while the next call of the same host is under way.
+/// Short enough that a duplicate response arrives while the host's next call is in flight.
 constexpr milliseconds repeat_delay{3};
 constexpr milliseconds pause_time{12'000};
 constexpr milliseconds outage_time{5'000};
 constexpr milliseconds tick_gap{250};
 constexpr milliseconds caller_patience{900};
-/// No fault begins later, so that the last resend meets a world in which all faults are over.
+/// No fault begins later than this, so that all faults are over at the time of the last retry.
 constexpr milliseconds last_fault_at{25'000};
 constexpr milliseconds last_resend_at{40'000};
 constexpr milliseconds scenario_time{50'000};
@@ -86,7 +86,7 @@
 
 void deliver(model& m, std::size_t host, std::uint64_t life, const claim_event& e);
 
-/// The live hosts as a host sees them: whoever is cut off sees only itself.
+/// Updates a host's view of the live hosts; a partitioned host sees only itself.
 void renew_view(model& m, std::size_t host)
 {
     auto& h = m.hosts[host];
@@ -114,7 +114,8 @@
     return is_over ? claim_fault::none : found->second;
 }
 
-/// Faults of hosts and places begin when their step does; the step itself then goes on under them.
+/// Starts a fault of a host, its failure domain or the platform together with its step; the step
+/// itself is then processed under that fault.
 void begin_place_fault(model& m, std::size_t host, claim_fault fault)
 {
     auto& h = m.hosts[host];
@@ -156,8 +157,8 @@
     return m.versions;
 }
 
-/// One call of the platform with its fault. `call` takes effect and gives the answer's event;
-/// `fail` gives the event of an answer that did not come.
+/// One platform call. `call` applies it and returns the response event; `fail` returns the event of
+/// a call that failed with the given code.
 struct store_step {
     std::size_t host = 0;
     std::uint64_t life = 0;
@@ -170,7 +171,7 @@
     at(m, m.now + delay, [&m, s, e] { deliver(m, s.host, s.life, e); });
 }
 
-/// Takes effect at the platform, or is refused by its outage.
+/// Executes the call at the platform, or fails it if the platform is down or not reachable.
 void reach_platform(model& m, const store_step& s, bool answer_arrives, milliseconds answer_delay,
                     bool twice)
 {
@@ -283,7 +284,8 @@
     deliver(m, host, life, claim_finished_event{number, end, answer});
 }
 
-/// Whether the platform has the claim, which must come before the first byte to a target.
+/// Whether the claim is stored at the platform, which is required before the first byte is sent to
+/// a target.
 bool is_durable(const model& m, const claim_key& key, const claim_id& id)
 {
     const auto is_it = [&](const log_record& record) {
@@ -296,7 +298,7 @@
     });
 }
 
-/// The granted request goes to a target, which counts it.
+/// Executes the granted request at a target, which counts it.
 void run_work(model& m, std::size_t host, std::uint64_t life, std::uint64_t request,
               claim_number number, const claim_key& key, bool answer_is_lost)
 {
@@ -329,7 +331,7 @@
         return;
     }
     if (fault == claim_fault::lost_before) {
-        // Nothing was written to the target, which proves that the request was not run.
+        // Nothing was written to the target, so the request certainly was not run.
         at(m, m.now + call_timeout, [&m, host, life, e] {
             finish_work(m, host, life, e.request, e.number, claim_end::not_run);
         });
@@ -357,7 +359,7 @@
     } else if (const auto* replayed = std::get_if<claim_replayed>(&e.verdict)) {
         note_answer(m, e.request, true);
         if (replayed->answer.body != "first answer") {
-            violate(m, "a resend got another answer than the first");
+            violate(m, "a retry got another answer than the first request");
         }
     } else {
         const auto code = std::get<claim_refused>(e.verdict).code;
@@ -371,7 +373,7 @@
     }
 }
 
-/// A cheap fingerprint of all that decides what happens next.
+/// Records an inexpensive hash of the state that determines further behaviour.
 void note_state(model& m)
 {
     std::size_t seed = 0;
@@ -413,7 +415,7 @@
     const auto todo = reduce_claims(h.state, h.view, e, to_monotonic(m.now), to_wall(m.now));
     for (const auto& effect : todo) {
         if (is_gone(m, host, life)) {
-            break; // The host died amid its effects.
+            break; // The host crashed between its effects.
         }
         std::visit([&](const auto& one) { perform(m, host, one); }, effect);
     }
@@ -429,7 +431,7 @@
     }
 }
 
-/// A caller's try through `host`; without an answer in time it tries the next host.
+/// A caller's attempt through `host`; without a response in time it retries through the next host.
 void send_request(model& m, std::size_t host, std::uint64_t request, const claim_key& key,
                   unsigned tries_left)
 {
@@ -459,7 +461,7 @@
     return key;
 }
 
-/// Three keys of the same log, so that one write carries several.
+/// Picks three keys of the same log, so that one write can carry several records.
 void choose_keys(model& m)
 {
     m.key = make_key(1);
@@ -480,7 +482,7 @@
     m.report.runs = m.runs[m.key];
     const bool has_word = m.report.answered || m.report.last_word_unknown;
     if (!has_word) {
-        violate(m, "long after all faults a resend still gets neither an answer nor a last word");
+        violate(m, "long after all faults a retry gets neither an answer nor an unknown outcome");
     }
     if (m.report.answered && m.runs[m.key] == 0) {
         violate(m, "an answer was given without a run");
@@ -496,7 +498,7 @@
     constexpr std::uint64_t other_request = 200;
     constexpr std::uint64_t last_request = 300;
     constexpr std::uint64_t third_request = 400;
-    // Arrives while the first write is under way and so goes out with the next one.
+    // Arrives while the first write is in flight, so that it is batched into the next one.
     constexpr milliseconds third_key_at{115};
     model m(plan);
     choose_keys(m);
--- a/unit_tests/claims/claim_world.h
+++ b/unit_tests/claims/claim_world.h
@@ -10,40 +10,40 @@
 #include <string>
 #include <vector>
 
-/// A small world for the claim reducer: hosts, a platform, targets that count their runs, and
-/// callers that send again. Time is virtual and every run is repeatable.
+/// A deterministic simulation around the claim reducer: hosts, a platform, targets that count
+/// executions, and callers that retry. Time is virtual.
 namespace almondquay {
 
-/// What can happen to one step, that is to one effect on its way.
+/// The faults that can be injected into one step, that is, into one effect in transit.
 enum class claim_fault {
     none,
-    lost_before,   ///< never arrives; whoever waits hears of it after a timeout
-    lost_after,    ///< takes effect, but its answer is lost
-    late,          ///< arrives long after whoever waits has given up
-    late_answer,   ///< takes effect at once, its answer crosses later ones
-    twice,         ///< arrives twice
-    host_paused,   ///< the step's host stops for longer than any timeout, then goes on
-    host_replaced, ///< the step's host dies and a new life with nothing kept takes its place
-    platform_down, ///< the platform refuses everything for a while from this step on
-    domain_cut,    ///< the step's host reaches neither peers nor platform for a while
+    lost_before,   ///< never arrives; the waiting side gets a timeout
+    lost_after,    ///< takes effect, but its response is lost
+    late,          ///< arrives long after the waiting side has timed out
+    late_answer,   ///< takes effect at once, but its response arrives after later ones
+    twice,         ///< is delivered twice
+    host_paused,   ///< the step's host is suspended for longer than any timeout
+    host_replaced, ///< the step's host crashes and restarts with a new incarnation and no state
+    platform_down, ///< the platform rejects all calls for a while, starting with this step
+    domain_cut,    ///< the step's host is partitioned from peers and platform for a while
     last = domain_cut,
 };
 
-/// Which step meets which fault; steps are numbered in the order in which they start.
+/// Maps step numbers to injected faults; steps are numbered in the order in which they start.
 using fault_plan = std::map<std::uint32_t, claim_fault>;
 
-/// What the oracle found.
+/// The result of one scenario, as checked by the simulation.
 struct claim_run_report {
     std::uint32_t steps = 0;
     std::vector<std::string> violations;
     std::uint32_t runs = 0;
-    bool answered = false; ///< some caller got the work's answer
+    bool answered = false; ///< some caller got the response of the executed request
     bool last_word_unknown = false;
-    std::set<std::uint64_t> states; ///< fingerprints of the states visited
+    std::set<std::uint64_t> states; ///< hashes of the states visited
 };
 
-/// Runs the scenario: one key sent to host 0, resent in parallel and later through the others,
-/// beside a second key of the same log. Ends after all faults have passed.
+/// Runs the scenario: one key is sent to host 0 and retried through the other hosts, concurrently
+/// and later, next to two other keys of the same log. Ends after all faults are over.
 claim_run_report run_claim_scenario(const fault_plan& plan);
 
 } // namespace almondquay
