--- a/source/steering/block_table.cpp
+++ b/source/steering/block_table.cpp
@@ -74,7 +74,8 @@
     for (const auto& block : blocks) {
         ranges.push_back(to_range(block.cidr, index_of(table->names, block.near_region)));
     }
-    // Outer blocks come before the blocks they contain, so a stack of open blocks is enough.
+    // Sorted so that enclosing blocks precede the blocks nested in them; a stack of open blocks
+    // then suffices.
     std::ranges::stable_sort(ranges, [](const range& a, const range& b) {
         return a.first != b.first ? a.first < b.first : a.end > b.end;
     });
--- a/source/steering/lookup_plan.cpp
+++ b/source/steering/lookup_plan.cpp
@@ -33,7 +33,7 @@
     });
 }
 
-/// 0 for the same region, 1 for a linked one, 2 for all others.
+/// Returns 0 for the same region, 1 for a linked one, 2 for all others.
 int distance(const place_index& places, const region_id& from, const region_id& to)
 {
     if (from == to) {
--- a/source/steering/lookup_plan.h
+++ b/source/steering/lookup_plan.h
@@ -9,19 +9,19 @@
 #include <utility>
 #include <vector>
 
-/// Which entry hosts a caller is told to use.
+/// Selects the entry hosts that a lookup returns to a caller.
 namespace almondquay {
 
-/// What the plan knows of the world besides the text.
+/// The runtime state that host selection depends on besides the configuration.
 struct world_view {
     std::set<host_id> live_hosts; ///< alive and not leaving
     std::vector<drain_mark> drains;
-    std::set<target_id> dead_targets; ///< known not to serve
+    std::set<target_id> dead_targets; ///< known to be down
 };
 
 struct host_choice {
     const host* entry = nullptr;
-    std::uint32_t weight = 0; ///< share of new requests; 0 is for use only when all others fail
+    std::uint32_t weight = 0; ///< share of new requests; 0: use only if all others fail
 };
 
 /// Whether a drain covers the target, directly or by its failure domain or region.
@@ -30,27 +30,28 @@
 /// Whether a drain covers the host, directly or by its failure domain or region.
 bool is_drained(const fleet& f, const std::vector<drain_mark>& drains, const host& h);
 
-/// What can serve where, summed up once for all answers.
+/// Available capacity and hosts by failure domain, computed once for all lookup answers.
 struct place_index {
     std::map<std::pair<failure_domain_id, service_id>, std::uint32_t> slots;
     std::map<failure_domain_id, std::vector<const host*>> hosts; ///< live and not drained
-    std::set<std::pair<region_id, region_id>> linked;            ///< both ways, and each to itself
+    std::set<std::pair<region_id, region_id>> linked;            ///< symmetric and reflexive
 };
 
-/// Refers to the hosts of `f`, which must outlive it.
+/// The result points into `f`, which must outlive it.
 place_index make_place_index(const fleet& f, const world_view& world);
 
-/// The slots that serve `id` in `domain`; 0 if something it depends on cannot be reached from
-/// there. A dependency is reached in the same region or over a link from it.
+/// The slots that serve `id` in `domain`; 0 if one of its dependencies cannot be reached from
+/// there. A dependency is reachable if it is served in the same region or in a linked one.
 std::uint32_t usable_slots(const fleet& f, const place_index& places,
                            const failure_domain_id& domain, const service_id& id);
 
-/// Hosts for callers near `near_region`: first those of the nearest region that can serve, with
-/// weights by the slots behind them, then those of other regions with weight 0.
+/// The hosts for callers near `near_region`: first those at the smallest distance that can serve,
+/// weighted by the slots behind them, then those of other regions with weight 0.
 std::vector<host_choice> choose_hosts(const fleet& f, const place_index& places,
                                       const service_id& id, const region_id& near_region);
 
-/// The answer as JSON: service, generation, ttl_ms and hosts with address, domain and weight.
+/// Encodes the lookup answer as JSON: service, generation, ttl_ms and hosts with address, domain
+/// and weight.
 std::string lookup_answer(const fleet& f, const service_id& id, generation in_force,
                           const std::vector<host_choice>& choices);
 
--- a/source/steering/route_table.h
+++ b/source/steering/route_table.h
@@ -11,11 +11,11 @@
 #include <boost/smart_ptr/intrusive_ptr.hpp>
 #include <boost/smart_ptr/intrusive_ref_counter.hpp>
 
-/// Finds the rule for a request's Host header and path.
+/// Matches a request's Host header and path to a route rule.
 namespace almondquay {
 
 struct route_table : boost::intrusive_ref_counter<route_table, boost::thread_safe_counter> {
-    /// By host name in lower case; each list with the longest prefixes first.
+    /// By lower-case host name; each list is sorted by descending prefix length.
     std::map<std::string, std::vector<route_rule>, std::less<>> by_host;
 };
 
@@ -23,11 +23,11 @@
 
 route_table_ptr make_route_table(const std::vector<route_rule>& rules);
 
-/// The rule with the longest prefix that begins `path`, or nullptr. A port after the host and a
-/// query after the path do not count. The pointer lives as long as the table.
+/// The rule with the longest path prefix that matches, or nullptr. The host's port and the path's
+/// query string are ignored. The pointer is valid as long as the table.
 const route_rule* find_rule(const route_table& table, std::string_view host, std::string_view path);
 
-/// The service that gets a request of a rule with several parts, by their weights.
+/// Picks the service for a request at random, in proportion to the weights of the rule's parts.
 std::string choose_part(const route_rule& rule, std::mt19937_64& random);
 
 } // namespace almondquay
--- a/source/steering/routing_snapshot.h
+++ b/source/steering/routing_snapshot.h
@@ -12,11 +12,11 @@
 #include <string>
 #include <vector>
 
-/// What the traffic threads need to know, published whole and never changed afterwards.
+/// The routing state for the traffic threads: an immutable snapshot that is published as a whole.
 namespace almondquay {
 
-/// One target of this host's failure domain, or an entry host of another one that takes spill, and
-/// what this host may use of it.
+/// A target in this host's failure domain, or an entry host of another failure domain that accepts
+/// spilled requests, with this host's share of its capacity.
 struct target_route {
     target_id id;
     endpoint address;
@@ -25,20 +25,20 @@
     bool usable = false;
     bool sheds_unrun = false;
     bool is_spill = false;        ///< an entry host of another failure domain
-    double bytes_per_second = 0;  ///< of one spilled request
-    bool checks_identity = false; ///< refuses requests that name another target than itself
+    double bytes_per_second = 0;  ///< bandwidth limit of one spilled request
+    bool checks_identity = false; ///< rejects requests for another target instance
     incarnation life{};
     failure_domain_id domain{};
     region_id in_region{};
     std::chrono::steady_clock::time_point cold_until{};
-    double cold_per_second = 0; ///< requests that this host may send to it while it is cold
+    double cold_per_second = 0; ///< request rate limit of this host until `cold_until`
 };
 
 struct service_routes {
     service definition;
     std::vector<target_route> targets;
     std::map<region_id, std::string> lookup_answers; ///< JSON, by the caller's region
-    bool are_targets_shared = false; ///< every host uses every target, chosen by placement
+    bool are_targets_shared = false; ///< every host uses every target, selected by placement
 };
 
 struct routing_snapshot
@@ -52,9 +52,9 @@
     std::map<std::string, service_routes, std::less<>> services;
     route_table_ptr routes; ///< nullptr or empty: the Host header names the service
     caller_limits limits;
-    std::map<region_id, std::vector<endpoint>> entry_hosts; ///< for callers of that region
+    std::map<region_id, std::vector<endpoint>> entry_hosts; ///< by the callers' region
     std::map<failure_domain_id, region_id> regions;
-    std::size_t hosts = 1; ///< that share the budgets of all hosts
+    std::size_t hosts = 1; ///< number of hosts that share the fleet-wide budgets
 };
 
 using snapshot_ptr = boost::intrusive_ptr<const routing_snapshot>;
@@ -63,11 +63,11 @@
 const target_route* find_target(const routing_snapshot& snapshot, std::string_view service,
                                 const target_id& id);
 
-/// Whether new requests may go to a target.
+/// Whether new requests may be sent to a target.
 bool is_usable(const routing_snapshot& snapshot, std::string_view service, const target_id& id);
 
-/// The look-up answer for a service and a caller's address; callers outside all blocks are
-/// treated as near this host. nullptr if the service is unknown.
+/// The lookup answer for a service and a caller's address, or nullptr if the service is unknown.
+/// Callers outside all configured blocks get the answer for this host's region.
 const std::string* find_lookup_answer(const routing_snapshot& snapshot, std::string_view service,
                                       std::string_view caller_address);
 
--- a/source/steering/slot_share.h
+++ b/source/steering/slot_share.h
@@ -7,14 +7,14 @@
 
 namespace almondquay {
 
-/// The part of `whole` that the host at `position` of `hosts` may use of one target. The parts of
-/// all hosts add up to `whole` whatever happens, since they depend on the text alone and not on
-/// who is alive. The remainder goes to the hosts from `first` on: if each target starts where the
-/// one before it ended, the hosts' sums over all targets differ by one at most.
+/// The share of a target's `whole` slots that the host at `position` of `hosts` may use. Shares
+/// depend on the configuration alone and not on which hosts are alive, so those of all hosts always
+/// add up to `whole`. The remainder goes to consecutive hosts from `first` on: if each target
+/// starts where the previous one ended, the hosts' totals over all targets differ by at most one.
 std::uint32_t share_of(std::uint32_t whole, std::size_t first, std::size_t position,
                        std::size_t hosts);
 
-/// A starting place for what has no neighbours to be balanced with.
+/// A pseudo-random starting position, for a target that is not balanced together with others.
 std::size_t first_of(const target_id& name);
 
 } // namespace almondquay
--- a/unit_tests/steering/steering_test.cpp
+++ b/unit_tests/steering/steering_test.cpp
@@ -26,7 +26,7 @@
     std::string region;
 };
 
-/// The slow and obvious answer: the longest block that contains the address.
+/// Reference implementation by linear search: the longest block that contains the address.
 std::string longest_match(const std::vector<plain_block>& blocks, std::uint32_t address)
 {
     std::string best;
@@ -159,8 +159,8 @@
         }
     }
 
-    /// Found by picking_benchmark: shares that started at a hash of the target's name gave one of
-    /// 20 hosts less than its part of 40 targets' slots, and its queue grew without end.
+    /// Regression test, found by picking_benchmark: shares that started at a hash of the target's
+    /// name gave one of 20 hosts too few of 40 targets' slots, and its queue grew without bound.
     void shares_are_balanced_over_hosts()
     {
         for (const std::size_t hosts : {2, 3, 7, 20}) {
