--- a/source/peer/crash_evidence.h
+++ b/source/peer/crash_evidence.h
@@ -9,19 +9,19 @@
 
 namespace almondquay {
 
-/// A hash of a request's service, method, path and the first piece of its body.
+/// A hash of a request's service, method, path and the first bytes of its body.
 using request_fingerprint = std::uint64_t;
 
-/// A request was in flight at a target when the target closed all its connections.
+/// Report that a request was in flight at a target when the target closed all its connections.
 struct crash_evidence {
     request_fingerprint fingerprint = 0;
-    std::string description; ///< service, method and path, for people
+    std::string description; ///< service, method and path, for display
     target_id target;
 
     bool operator==(const crash_evidence&) const = default;
 };
 
-/// JSON.
+/// Encodes as JSON.
 std::string encode(const crash_evidence& evidence);
 
 /// Errors: peer_message_malformed.
--- a/source/peer/gossip_channel.cpp
+++ b/source/peer/gossip_channel.cpp
@@ -79,7 +79,7 @@
 {
     const auto datagram = encode(message, state_->secret);
     const udp::endpoint address(asio::ip::make_address(to.address), to.port);
-    error_code lost; // A datagram that the kernel refuses is one more lost datagram.
+    error_code lost; // A failed send is treated like a datagram lost on the network.
     state_->socket.send_to(asio::buffer(datagram), address, 0, lost);
     state_->bytes_sent += datagram.size();
 }
--- a/source/peer/gossip_channel.h
+++ b/source/peer/gossip_channel.h
@@ -12,7 +12,7 @@
 
 using gossip_handler = std::function<void(result<gossip_message>)>;
 
-/// Sends and receives gossip over UDP. Messages may be lost, repeated or arrive late.
+/// Sends and receives gossip over UDP. Messages may be lost, duplicated or delayed.
 class gossip_channel {
 public:
     /// Errors: usage_error if the address cannot be bound.
--- a/source/peer/gossip_message.cpp
+++ b/source/peer/gossip_message.cpp
@@ -99,7 +99,7 @@
         message.answer_to.address = whole.at(10).get<std::string>();
         message.answer_to.port = whole.at(11).get<std::uint16_t>();
         message.news = whole.at(12).get<std::string>();
-        constexpr std::size_t unreachable_place = 13; // Earlier versions do not send it.
+        constexpr std::size_t unreachable_place = 13; // Optional: earlier versions do not send it.
         if (whole.size() > unreachable_place) {
             for (const auto& id : whole.at(unreachable_place)) {
                 message.unreachable.emplace_back(id.get<std::string>());
--- a/source/peer/host_status.h
+++ b/source/peer/host_status.h
@@ -8,7 +8,7 @@
 #include <string_view>
 #include <vector>
 
-/// What a host tells operators about itself.
+/// The status report of a host for operators.
 namespace almondquay {
 
 struct member_status {
@@ -23,7 +23,7 @@
     bool usable = false;
     std::string why; ///< why it is not usable
     std::uint32_t in_flight = 0;
-    std::uint32_t share = 0; ///< the slots that this host may use
+    std::uint32_t share = 0; ///< number of slots that this host may use
 };
 
 struct quarantine_status {
--- a/source/peer/inventory_copy.cpp
+++ b/source/peer/inventory_copy.cpp
@@ -10,7 +10,7 @@
 
 using json = nlohmann::json;
 
-/// Names that rows repeat are written once and referred to by their place.
+/// String table: names that occur in many rows are written once and referred to by index.
 struct name_table {
     json names = json::array();
 
@@ -91,7 +91,7 @@
 {
     const auto kind = row.at(0).get<std::size_t>();
     if (kind >= inventory_kinds) {
-        throw json::other_error::create(0, "no such list", nullptr);
+        throw json::other_error::create(0, "unknown inventory list", nullptr);
     }
     return {static_cast<inventory_kind>(kind), row.at(1).get<std::string>(),
             std::chrono::milliseconds(row.at(2).get<std::int64_t>())};
--- a/source/peer/rpc_client.cpp
+++ b/source/peer/rpc_client.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// The library's own client needs C++14 and blocks, so the small envelope is built here.
+/// Builds the JSON-RPC request by hand, because the library's client requires C++14 and blocks.
 std::string encode_call(const std::string& method, const std::string& argument)
 {
     Json::Value call;
--- a/source/peer/rpc_server.cpp
+++ b/source/peer/rpc_server.cpp
@@ -7,7 +7,8 @@
 
 namespace {
 
-/// Joins the library to our HTTP server: requests go in by hand, answers come back at once.
+/// Connects the library to this process's HTTP server: requests are passed in by a direct call and
+/// the response is available when it returns.
 class direct_connector final : public jsonrpc::AbstractServerConnector {
 public:
     bool StartListening() override { return true; }
@@ -39,7 +40,7 @@
     }
 
 private:
-    /// The library wants a member function for each name; the table above is used instead.
+    /// The library requires a member function for each method; HandleMethodCall uses the table.
     void unused(const Json::Value& /*input*/, Json::Value& /*output*/) {}
 
     rpc_methods methods_;
--- a/source/peer/rpc_server.h
+++ b/source/peer/rpc_server.h
@@ -12,15 +12,15 @@
 /// JSON-RPC between the project's own processes, signed with the shared secret.
 namespace almondquay {
 
-/// Takes a method's argument and returns its answer, both as JSON texts of typed messages.
+/// Takes a method's argument and returns its result, both as JSON-encoded messages.
 using rpc_method = std::function<std::string(const std::string& argument)>;
 using rpc_methods = std::map<std::string, rpc_method>;
 
-/// The header that carries the signature of a body, both ways.
+/// The header that carries the signature of the body, in requests and responses.
 inline constexpr std::string_view signature_header = "Almondquay-Signature";
 inline constexpr std::string_view rpc_path = "/rpc";
 
-/// Answers signed JSON-RPC requests; the protocol itself is the library's work.
+/// Serves signed JSON-RPC requests; the library implements the protocol itself.
 class rpc_server {
 public:
     static std::unique_ptr<rpc_server> create(shared_secret secret, rpc_methods methods);
@@ -28,7 +28,7 @@
     rpc_server(const rpc_server&) = delete;
     rpc_server& operator=(const rpc_server&) = delete;
 
-    /// 403 for a wrong signature, else the library's answer, signed.
+    /// Returns 403 for a wrong signature, otherwise the library's response, signed.
     http::response handle(const http::request& request);
 
 private:
--- a/unit_tests/peer/peer_test.cpp
+++ b/unit_tests/peer/peer_test.cpp
@@ -61,7 +61,7 @@
         CPPUNIT_ASSERT(code_of(decode_gossip("", secret)) == result_code::peer_unauthenticated);
     }
 
-    /// Bytes are changed below a valid signature, so that the decoder itself is reached.
+    /// Mutates the body and then signs it, so that the mutated bytes reach the decoder.
     void any_bytes_are_refused_or_read()
     {
         std::mt19937 random(3);
