--- a/source/store/http_object_store.cpp
+++ b/source/store/http_object_store.cpp
@@ -27,7 +27,7 @@
             return version;
         }
     }
-    return error{result_code::platform_bad_answer, "the answer has no version"};
+    return error{result_code::platform_bad_answer, "response has no valid ETag"};
 }
 
 result<object_version> to_version(const result<http::response>& answer)
@@ -170,7 +170,7 @@
                   });
 }
 
-/// `harmless_status` says that what the call wants is so already.
+/// `harmless_status` is the error status that means that the requested state already holds.
 void http_object_store::change_hosts(http::request call, unsigned harmless_status,
                                      done_handler handler)
 {
--- a/source/store/http_object_store.h
+++ b/source/store/http_object_store.h
@@ -8,21 +8,21 @@
 
 namespace almondquay {
 
-/// Calls that were sent, by kind; a waiting watch counts as one, as the platform counts it.
+/// Number of calls sent, by kind; a long-polling watch counts as one call, as at the platform.
 struct platform_call_counts {
     std::uint64_t reads = 0;
     std::uint64_t writes = 0;
     std::uint64_t watches = 0;
 };
 
-/// Translates failures below HTTP: only a request that was never sent had no effect for sure.
+/// Maps transport failures: only a request that was never sent is certain to have had no effect.
 error to_platform_error(const error& e);
 
-/// The error that a refused call stands for.
+/// Maps the status of an unsuccessful response to an error.
 error to_platform_error(const http::response& answer);
 
 /// The object API over HTTP: GET, PUT and DELETE of /v1/objects/KEY with If-Match and
-/// If-None-Match, versions in ETag, and a watch as a GET that waits.
+/// If-None-Match, versions in ETag, and watches as long-polling GETs.
 class http_object_store final : public object_store {
 public:
     static std::unique_ptr<http_object_store> create(boost::asio::io_context& io,
--- a/source/store/inventory.h
+++ b/source/store/inventory.h
@@ -11,8 +11,8 @@
 #include <variant>
 #include <vector>
 
-/// What a store tells of a fleet that registers itself: one list for each kind of thing, read whole
-/// once and then followed by its changes.
+/// The inventory of a fleet whose members register themselves with a store: one list per kind of
+/// entry, read completely once and then kept up to date from its changes.
 namespace almondquay {
 
 /// The lists that a host keeps.
@@ -20,17 +20,17 @@
 
 constexpr std::size_t inventory_kinds = 4;
 
-/// For each kind, the revision up to which its list is known; 0 while it is not.
+/// For each kind, the revision of the local copy of its list; 0 if there is none.
 using inventory_revisions = std::array<store_revision, inventory_kinds>;
 
-/// For each kind, how long ago its list was known to be whole.
+/// For each kind, the time since the local copy of its list was last known to be complete.
 using inventory_ages = std::array<std::chrono::milliseconds, inventory_kinds>;
 constexpr std::chrono::milliseconds never_confirmed{60'000};
 
 /// "configuration", "targets", "evacuated domains" or "hosts".
 std::string_view name_of(inventory_kind kind);
 
-/// A target as it registered itself.
+/// A target as it has registered itself.
 struct registered_target {
     target what;
     std::chrono::milliseconds cold_left{0}; ///< from the moment of its last registration
@@ -38,14 +38,14 @@
     bool operator==(const registered_target&) const = default;
 };
 
-/// A failure domain whose targets are to get nothing.
+/// A failure domain whose targets must not get requests.
 struct evacuation {
     failure_domain_id domain;
 
     bool operator==(const evacuation&) const = default;
 };
 
-/// An entry that cannot be understood; it stands for nothing.
+/// An entry that cannot be parsed; it is ignored.
 struct unreadable_entry {
     std::string why;
 
@@ -62,24 +62,25 @@
     std::variant<absent_entry, unreadable_entry, fleet_envelope, registered_target, evacuation,
                  host>
         entry;
-    store_revision revision{}; ///< of its last change; 0: not told
+    store_revision revision{}; ///< of its last change; 0: not known
 };
 
 /// A page of a list, or the changes since a revision.
 struct inventory_page {
     std::vector<inventory_item> items;
-    store_revision at;     ///< follow changes from here
-    bool has_more = false; ///< of a list: the next page begins after the last item's name
+    store_revision at;     ///< the revision from which to follow changes
+    bool has_more = false; ///< for a list: the next page begins after the last item's name
 };
 
-/// What to read: a page of the list, or changes since `since`, for which the store may wait.
+/// A read of a list's page or, with `follow`, of the changes after `since`, by long polling for up
+/// to `wait`.
 struct inventory_question {
     inventory_kind kind = inventory_kind::configuration;
     bool follow = false;
-    std::string after;    ///< of a list: the name after which the page begins
-    store_revision since; ///< of changes
+    std::string after;    ///< for a list: the name after which the page begins
+    store_revision since; ///< for changes: the revision after which they begin
     std::chrono::milliseconds wait{0};
-    std::uint64_t number = 0; ///< tells a host's questions apart
+    std::uint64_t number = 0; ///< correlates a response with its call
 };
 
 } // namespace almondquay
--- a/source/store/object_store.h
+++ b/source/store/object_store.h
@@ -8,10 +8,10 @@
 #include <functional>
 #include <string>
 
-/// The platform's object API behind one narrow interface.
+/// The interface to the platform's object API.
 namespace almondquay {
 
-/// The platform's own counter of changes; it says nothing about which fleet text is newer.
+/// The platform's change counter of an object; it does not tell which fleet configuration is newer.
 using object_version = std::uint64_t;
 
 struct stored_object {
@@ -27,7 +27,7 @@
 using page_handler = std::function<void(result<inventory_page>)>;
 using done_handler = std::function<void(result<done>)>;
 
-/// Every call ends once, at the latest after its timeout. Errors of all calls:
+/// Every call invokes its handler once, at the latest after its timeout. Errors of all calls:
 /// platform_unavailable and platform_rate_limited (no effect), platform_answer_lost (a write may
 /// have taken effect), platform_bad_answer.
 class object_store {
@@ -48,7 +48,7 @@
     /// Deletes the object if it still has version `expected`. Further errors: platform_conflict.
     virtual void remove(const std::string& key, object_version expected, done_handler handler) = 0;
 
-    /// Waits until the object's version differs from `known`, at most for `wait`. Further errors:
+    /// Waits until the object's version differs from `known`, for at most `wait`. Further errors:
     /// platform_not_found if nothing changed in that time.
     virtual void watch(const std::string& key, object_version known, std::chrono::milliseconds wait,
                        object_handler handler) = 0;
@@ -56,10 +56,10 @@
     /// Reads a part of the inventory. Further errors: platform_history_lost.
     virtual void ask(const inventory_question& question, page_handler handler) = 0;
 
-    /// Lists this host among the entry hosts; succeeds if it is listed already.
+    /// Registers this host as an entry host; succeeds if it is already registered.
     virtual void register_host(const host& self, done_handler handler) = 0;
 
-    /// Takes a host off the list; succeeds if it is not listed.
+    /// Removes a host from the registry; succeeds if it is not registered.
     virtual void remove_host(const host_id& id, done_handler handler) = 0;
 };
 
--- a/source/store/store_protocol.h
+++ b/source/store/store_protocol.h
@@ -4,26 +4,26 @@
 #include "http/message.h"
 #include "store/inventory.h"
 
-/// How a store that keeps an inventory is spoken to, as data: the one HTTP client serves all of
-/// them. A store without an inventory has no functions here.
+/// The codec for one kind of inventory store, as a table of functions, so that one HTTP client
+/// serves all kinds. All functions are null for a store without an inventory.
 namespace almondquay {
 
 struct store_protocol {
-    /// The call that answers `question`.
+    /// Encodes the HTTP request for `question`.
     http::request (*encode_question)(const inventory_question& question) = nullptr;
 
-    /// Errors: platform_history_lost if changes since that revision are no longer known, and those
-    /// of all calls to a store.
+    /// Decodes the response. Errors: those of all store calls, and platform_history_lost if the
+    /// store no longer keeps the changes since that revision.
     result<inventory_page> (*decode_page)(const inventory_question& question,
                                           const http::response& answer) = nullptr;
 
-    /// The call that lists this host among the entry hosts.
+    /// Encodes the HTTP request that registers this host as an entry host.
     http::request (*encode_registration)(const host& self) = nullptr;
 
-    /// The call that takes a host off the list.
+    /// Encodes the HTTP request that removes a host from the registry.
     http::request (*encode_removal)(const host_id& id) = nullptr;
 
-    /// Reads a configuration's text. Findings name `file`.
+    /// Parses a configuration. Diagnostics refer to it as `file`.
     std::variant<fleet, diagnostics> (*parse_fleet)(std::string_view text,
                                                     const std::string& file) = nullptr;
 };
