--- a/source/config/diagnostic.h
+++ b/source/config/diagnostic.h
@@ -7,7 +7,8 @@
 
 namespace almondquay {
 
-/// One thing wrong with a text: where, what number, and why. Line 0 means the whole file.
+/// One problem found in a configuration file: its location, result code and message. Line 0 refers
+/// to the whole file.
 struct diagnostic {
     result_code code = result_code::ok;
     std::string file;
@@ -17,10 +18,10 @@
     bool operator==(const diagnostic&) const = default;
 };
 
-/// All findings of one run, in the order of the text.
+/// All problems found while parsing one file, in the order of its lines.
 using diagnostics = std::vector<diagnostic>;
 
-/// "fleet.ini:12: 1005 unknown_key: ..." as the command line prints it.
+/// "fleet.ini:12: 1005 unknown_key: ..." as the command-line tool prints it.
 std::string to_string(const diagnostic& d);
 
 } // namespace almondquay
--- a/source/config/fleet.h
+++ b/source/config/fleet.h
@@ -9,7 +9,7 @@
 #include <string>
 #include <vector>
 
-/// The operators' text as typed values: what runs where, what it depends on and its limits.
+/// The parsed fleet configuration: hosts, services, targets, dependencies and limits.
 namespace almondquay {
 
 struct region {
@@ -21,53 +21,53 @@
     region_id in_region;
 };
 
-/// The capacity each way between two regions.
+/// A network link between two regions; `limit` applies to each direction separately.
 struct link {
     region_id first;
     region_id second;
     megabits_per_second limit;
 };
 
-/// One entry host.
+/// A host that accepts requests from callers and forwards them to targets.
 struct host {
     host_id id;
     failure_domain_id domain;
-    endpoint callers;  ///< where callers look up and send requests
-    endpoint peers;    ///< where other hosts and operators reach it
-    double weight = 1; ///< its part of work that is dealt among hosts
+    endpoint callers;  ///< listener for callers: look-ups and requests
+    endpoint peers;    ///< listener for other hosts and for operators
+    double weight = 1; ///< relative share of work that is divided among hosts
 
     bool operator==(const host&) const = default;
 };
 
-/// Paths of a service that may or must not be repeated, against the safe default.
+/// Overrides, for the paths of a service under a prefix, whether requests may be retried.
 struct route {
     std::string path_prefix;
     bool repeatable = false;
 };
 
-/// A service's part of a route's requests.
+/// One weighted destination of a route.
 struct route_part {
     service_id to;
     double weight = 1;
 };
 
-/// Decides by the Host header and the path where a request goes and what it may cost. Where a
-/// fleet has no rules, the first label of the Host header names the service.
+/// Selects the destination services, time-out and retry limits of a request by its Host header and
+/// path. If the fleet has no route rules, the first label of the Host header names the service.
 struct route_rule {
     route_id id;
     std::string host;
-    std::string path_prefix; ///< begins and ends with '/'; the longest match decides
+    std::string path_prefix; ///< begins and ends with '/'; the longest match wins
     std::vector<route_part> parts;
     bool repeatable = false;
-    bool by_object = false; ///< targets answer faster for an object that they handled lately
-    std::chrono::milliseconds timeout{10'000};  ///< a caller has a final answer by then
-    std::chrono::milliseconds objective{1'000}; ///< an answer within this time is a good one
-    std::uint32_t max_attempts = 3;             ///< targets that one request may be sent to
-    std::uint32_t rank = 1;                     ///< the lowest number is refused last
-    std::vector<region_id> homes;               ///< the only regions that may serve it; empty: all
+    bool by_object = false; ///< targets respond faster for an object that they served recently
+    std::chrono::milliseconds timeout{10'000};  ///< deadline for the final response to the caller
+    std::chrono::milliseconds objective{1'000}; ///< latency objective of a response
+    std::uint32_t max_attempts = 3;             ///< maximum number of targets tried for one request
+    std::uint32_t rank = 1;                     ///< priority under overload; 1 is refused last
+    std::vector<region_id> homes;               ///< regions that may serve it; empty: all
 };
 
-/// What a caller may send, and how long it may take.
+/// Size and time limits for requests from callers.
 struct caller_limits {
     std::uint32_t header_bytes = 16U * 1024;
     std::uint64_t body_bytes = 1ULL << 40U;
@@ -78,13 +78,13 @@
 struct service {
     service_id id;
     std::vector<service_id> depends_on;
-    std::vector<route> routes; ///< the longest matching prefix decides
+    std::vector<route> routes; ///< the longest matching prefix wins
     std::chrono::milliseconds deadline{10'000};
-    std::uint32_t rank = 1; ///< a higher rank is refused later when capacity is short
+    std::uint32_t rank = 1; ///< priority under overload; a higher rank is refused later
     std::string health_path = "/healthz";
-    std::uint32_t connections = 400; ///< that each of its targets takes from all hosts together
-    std::chrono::milliseconds cold_time{0}; ///< a target is cold for this long after its start
-    double cold_requests_per_second = 0;    ///< what a cold target stands; 0: no limit
+    std::uint32_t connections = 400;        ///< connection limit of each target, over all hosts
+    std::chrono::milliseconds cold_time{0}; ///< warm-up period after a target starts
+    double cold_requests_per_second = 0;    ///< request rate limit during warm-up; 0: none
 };
 
 struct target {
@@ -94,15 +94,16 @@
     endpoint address;
     slot_count slots{3};
     std::uint32_t connections = 400;
-    bool sheds_unrun = false; ///< the operator declares that a 503 of this target means "not run"
-    bool checks_identity = false; ///< refuses requests that name another target than itself
-    incarnation life;             ///< of a target that registers itself; 0 if the text lists it
-    bool leaving = false;         ///< gets no new work
+    bool sheds_unrun = false;     ///< declared by the operator: a 503 means that it was not run
+    bool checks_identity = false; ///< refuses requests that name a different target
+    incarnation life;             ///< of a target that registers itself; 0 if statically configured
+    bool leaving = false;         ///< draining; receives no new requests
 
     bool operator==(const target&) const = default;
 };
 
-/// How much of a service's work one failure domain may send to another without asking.
+/// How much of a service's traffic one failure domain may send to another without prior
+/// coordination.
 struct grant {
     failure_domain_id from;
     failure_domain_id to;
@@ -111,7 +112,7 @@
     megabits_per_second rate;
 };
 
-/// A block of callers' addresses and the region it is near to.
+/// A CIDR block of caller addresses and the region nearest to it.
 struct caller_block {
     std::string cidr;
     region_id near_region;
@@ -119,11 +120,11 @@
 
 struct fleet_settings {
     std::string name;
-    std::chrono::milliseconds lookup_ttl{2'000}; ///< how long callers may keep a look-up answer
-    percent shift_cap{20.0};                     ///< of a service's traffic in one step
+    std::chrono::milliseconds lookup_ttl{2'000}; ///< how long callers may cache a look-up response
+    percent shift_cap{20.0}; ///< maximum share of a service's traffic moved in one step
 };
 
-/// A whole text. Plain data; free functions below answer questions about it.
+/// A complete fleet configuration. Plain data; queries are the free functions below.
 struct fleet {
     fleet_settings settings;
     std::map<region_id, region> regions;
@@ -141,11 +142,11 @@
 /// The region of a failure domain; an empty id if the domain is unknown.
 region_id region_of(const fleet& f, const failure_domain_id& domain);
 
-/// Whether a request may be sent to a second target after the first may have run it. Without a
-/// route that says otherwise only methods that HTTP calls safe are repeatable.
+/// Whether a request may be retried on another target after the first may have run it. Unless a
+/// route of the service says otherwise, only the safe methods of HTTP are.
 bool is_repeatable(const service& s, std::string_view method, std::string_view path);
 
-/// The hosts of a failure domain in the order of their ids.
+/// The hosts of a failure domain, ordered by id.
 std::vector<const host*> hosts_of(const fleet& f, const failure_domain_id& domain);
 
 } // namespace almondquay
--- a/source/config/fleet_checks.cpp
+++ b/source/config/fleet_checks.cpp
@@ -11,7 +11,7 @@
 
 constexpr int address_bits = 32;
 
-/// The line of a section's heading, found by its kind and names.
+/// The line of the section heading with this kind and these names; 0 if there is none.
 int line_of(const ini_document& document, std::string_view kind,
             const std::vector<std::string>& names)
 {
@@ -143,7 +143,7 @@
         if (g.from == g.to) {
             add(document, result_code::bad_value,
                 line_of(document, "grant", {g.from.value, g.to.value, g.of_service.value}),
-                "a grant joins two different failure domains");
+                "a grant needs two different failure domains");
         }
     }
 }
@@ -156,7 +156,7 @@
 void check_grants_over_links(const fleet& f, ini_document& document)
 {
     for (const auto& l : f.links) {
-        // Each direction has the whole limit, so the two are summed apart.
+        // The limit applies to each direction separately, so each has its own sum.
         double forward = 0;
         double backward = 0;
         for (const auto& g : f.grants) {
@@ -179,7 +179,7 @@
     const auto require_any = [&](bool is_empty, std::string_view kind) {
         if (is_empty) {
             add(document, result_code::missing_section, 0,
-                "the text has no section '" + std::string(kind) + "'");
+                "section '" + std::string(kind) + "' is missing");
         }
     };
     const bool has_fleet = std::ranges::find(document.sections, "fleet", &ini_section::kind) !=
--- a/source/config/fleet_checks.h
+++ b/source/config/fleet_checks.h
@@ -5,14 +5,14 @@
 
 #include <string_view>
 
-/// Checks that look at a whole fleet: references, contradictions and limits.
+/// Validation of a complete fleet configuration: references, conflicts and limits.
 namespace almondquay {
 
-/// Adds a finding to `document` for each contradiction in `f`: missing_section,
+/// Adds a diagnostic to `document` for each invalid setting in `f`: missing_section,
 /// unknown_reference, dependency_cycle, address_in_use, limit_exceeded.
 void check_fleet(const fleet& f, ini_document& document);
 
-/// True for an IPv4 block such as 127.1.0.0/16.
+/// True for an IPv4 CIDR block such as 127.1.0.0/16.
 bool is_cidr(std::string_view text);
 
 } // namespace almondquay
--- a/source/config/fleet_envelope.cpp
+++ b/source/config/fleet_envelope.cpp
@@ -72,7 +72,8 @@
     const auto found = std::ranges::find(kind_names, word);
     if (found == kind_names.end()) {
         return error{result_code::bad_value,
-                     "'" + std::string(word) + "' is none of target, host, failure_domain, region"};
+                     "'" + std::string(word) +
+                         "' is not one of target, host, failure_domain, region"};
     }
     return static_cast<drain_kind>(found - kind_names.begin());
 }
--- a/source/config/fleet_text.cpp
+++ b/source/config/fleet_text.cpp
@@ -30,7 +30,7 @@
                                         static_cast<std::int64_t>(f.settings.shift_cap.value)));
 }
 
-/// Adds a named thing to its map. Finding: duplicate_name.
+/// Adds a value to `all` by its id. Reports duplicate_name.
 template <class Id, class Value>
 void add_named(section_reader& r, std::map<Id, Value>& all, Value value)
 {
@@ -68,7 +68,7 @@
     h.domain.value = read_required(r, "failure_domain");
     const auto address = read_required(r, "address");
     if (!address.empty() && !is_ipv4_address(address)) {
-        report(r, "address", result_code::bad_value, "'address' takes an IPv4 number");
+        report(r, "address", result_code::bad_value, "'address' must be an IPv4 address");
     }
     const auto caller_port = read_number(r, "caller_port", port_range, default_caller_port);
     const auto peer_port = read_number(r, "peer_port", port_range, default_peer_port);
@@ -82,7 +82,7 @@
     for (auto& path : read_list(r, key)) {
         if (!path.text.starts_with('/')) {
             report(r, path, result_code::bad_value,
-                   "a route is a path that starts with '/', not '" + path.text + "'");
+                   "a path must start with '/', got '" + path.text + "'");
         }
         s.routes.push_back({std::move(path.text), repeatable});
     }
@@ -138,14 +138,14 @@
     for (const auto& cidr : read_list(r, "blocks")) {
         if (!is_cidr(cidr.text)) {
             report(r, cidr, result_code::bad_value,
-                   "'" + cidr.text + "' is not a block such as 127.1.0.0/16");
+                   "'" + cidr.text + "' is not a CIDR block such as 127.1.0.0/16");
             continue;
         }
         f.caller_blocks.push_back({cidr.text, near_region});
     }
 }
 
-/// A kind of section: how many names its heading takes and who reads its keys.
+/// A kind of section, the number of names in its heading and the function that reads its keys.
 struct section_kind {
     std::string_view kind;
     std::size_t names;
@@ -175,8 +175,8 @@
         }
     }
     report(reader, "", result_code::unknown_section,
-           "no section is written [" + section.kind + "] with " +
-               std::to_string(section.names.size()) + " names");
+           "unknown section [" + section.kind + "] with " + std::to_string(section.names.size()) +
+               " names");
 }
 
 } // namespace
--- a/source/config/fleet_text.h
+++ b/source/config/fleet_text.h
@@ -9,9 +9,9 @@
 
 namespace almondquay {
 
-/// Reads and checks the operators' text. Either the whole fleet or every finding of the run:
-/// unknown sections and keys, missing keys, references to nothing, contradictions and limits.
-/// `file` names the place in findings. The format is described in docs/FLEET_TEXT.md.
+/// Parses and validates the fleet configuration. Returns the fleet, or all diagnostics: unknown
+/// sections and keys, missing keys, undefined references, conflicts and exceeded limits. `file` is
+/// the file name given in diagnostics. The format is described in docs/FLEET_TEXT.md.
 std::variant<fleet, diagnostics> parse_fleet(std::string_view text, const std::string& file);
 
 } // namespace almondquay
--- a/source/config/ini_document.cpp
+++ b/source/config/ini_document.cpp
@@ -9,14 +9,14 @@
 
 namespace {
 
-/// The library keeps a section's heading and a key in buffers of 50 bytes and would cut longer
-/// ones silently, so longer ones are refused here.
+/// The INI library stores section headings and keys in 50-byte buffers and silently truncates
+/// longer ones, so these are rejected here.
 constexpr std::size_t max_name_length = 49;
 constexpr std::string_view blanks = " \t\r";
 constexpr std::string_view list_part_mark = "[]";
 
-/// Feeds the library line by line. The library reports neither line numbers nor sections
-/// without keys, so both are noted on the way through.
+/// State of feeding the text to the INI library line by line. The library reports neither line
+/// numbers nor empty sections, so both are recorded while lines are passed to it.
 struct line_feed {
     std::string_view rest;
     int line = 0;
@@ -37,7 +37,7 @@
     auto words = split_list(text.substr(1, end - 1));
     if (words.empty() || end - 1 > max_name_length) {
         add_finding(document, result_code::text_syntax, line,
-                    "a section heading needs 1 to 49 characters");
+                    "a section heading must have 1 to 49 characters");
         words.resize(std::max<std::size_t>(words.size(), 1));
     }
     ini_section section;
@@ -58,12 +58,12 @@
     feed.rest.remove_prefix(std::min(end + 1, feed.rest.size()));
     ++feed.line;
     const auto start = std::min(text.find_first_not_of(blanks), text.size());
-    text.remove_prefix(start); // Indented lines are ordinary lines, not continuations.
+    text.remove_prefix(start); // The library would take an indented line for a continuation.
     if (text.size() + 2 > static_cast<std::size_t>(size) ||
         text.find('\0') != std::string_view::npos) {
         add_finding(*feed.document, result_code::line_too_long, feed.line,
-                    "a line may have " + std::to_string(size - 2) +
-                        " characters, none of them null; longer lists go over several lines, each "
+                    "a line must have at most " + std::to_string(size - 2) +
+                        " characters and no null bytes; split long lists over several lines, each "
                         "'key[] = ...'");
         text = "";
     }
@@ -81,11 +81,11 @@
     auto& feed = *static_cast<line_feed*>(user);
     auto& document = *feed.document;
     if (document.sections.empty()) {
-        add_finding(document, result_code::text_syntax, feed.line, "a key before any section");
+        add_finding(document, result_code::text_syntax, feed.line, "key before the first section");
         return 1;
     }
     if (std::strlen(name) >= max_name_length) {
-        add_finding(document, result_code::text_syntax, feed.line, "a key name is too long");
+        add_finding(document, result_code::text_syntax, feed.line, "key name is too long");
         return 1;
     }
     std::string_view key(name);
@@ -99,7 +99,7 @@
     });
     if (is_repeated) {
         add_finding(document, result_code::duplicate_name, feed.line,
-                    "key '" + std::string(key) + "' stands twice in its section");
+                    "key '" + std::string(key) + "' occurs twice in its section");
         return 1;
     }
     entries.push_back({std::string(key), value, feed.line, is_list_part});
@@ -134,8 +134,7 @@
 {
     ini_document document;
     document.file = std::move(file);
-    // The library stops at nothing but tells only the first bad line, so each stretch after a
-    // bad line is parsed anew until the text is used up.
+    // The library continues after a syntax error but reports only the first bad line.
     line_feed feed{text, 0, &document};
     const int bad_line = ini_parse_stream(next_line, &feed, take_entry, &feed);
     if (bad_line > 0) {
--- a/source/config/ini_document.h
+++ b/source/config/ini_document.h
@@ -6,10 +6,10 @@
 #include <string_view>
 #include <vector>
 
-/// INI texts with the line of every heading and key, so that findings can point at them.
+/// INI parser that records the line number of every section heading and key for diagnostics.
 ///
-/// A key stands once in its section. A list may instead be written over several lines, each
-/// "key[] = a, b"; its parts are joined in their order.
+/// A key may occur once in its section. A list may instead be written over several lines, each
+/// "key[] = a, b"; the parts are concatenated in order.
 namespace almondquay {
 
 struct ini_entry {
@@ -33,11 +33,11 @@
     diagnostics findings;
 };
 
-/// Splits `text` into sections and keys. Syntax errors become findings (text_syntax,
-/// line_too_long) and do not stop the run. `file` is only used to name the place.
+/// Splits `text` into sections and keys. Syntax errors become diagnostics (text_syntax,
+/// line_too_long) and do not stop parsing. `file` is only used in diagnostics.
 ini_document read_ini(std::string_view text, std::string file);
 
-/// Splits "a, b c" at commas and spaces, dropping empty parts.
+/// Splits "a, b c" at commas and whitespace, dropping empty parts.
 std::vector<std::string> split_list(std::string_view text);
 
 } // namespace almondquay
--- a/source/config/process_settings.cpp
+++ b/source/config/process_settings.cpp
@@ -32,7 +32,7 @@
     }
 }
 
-/// The port of "IP:PORT", for settings that are rendered from whole addresses.
+/// The port of "IP:PORT"; deployment templates render complete addresses.
 void read_port(section_reader& reader, std::string_view key, std::uint16_t& port)
 {
     endpoint whole{"", port};
@@ -47,7 +47,7 @@
         const auto slash = item.text.find('/');
         if (slash == std::string::npos) {
             report(reader, item, result_code::bad_value,
-                   "'" + item.text + "' is not written DOMAIN/REGION");
+                   "'" + item.text + "' must have the form DOMAIN/REGION");
             continue;
         }
         settings.domains.emplace(item.text.substr(0, slash), item.text.substr(slash + 1));
@@ -60,7 +60,7 @@
     settings.domain.value = read_required(reader, "failure_domain");
     settings.address = read_required(reader, "address");
     if (!settings.address.empty() && !is_ipv4_address(settings.address)) {
-        report(reader, "address", result_code::bad_value, "'address' takes an IPv4 number");
+        report(reader, "address", result_code::bad_value, "'address' must be an IPv4 address");
     }
     settings.caller_port = static_cast<std::uint16_t>(
         read_number(reader, "caller_port", port_range, settings.caller_port));
@@ -84,7 +84,7 @@
     }
     const auto kind = read_text(reader, "store", "own");
     if (kind != "own" && kind != "registry") {
-        report(reader, "store", result_code::bad_value, "'store' is own or registry");
+        report(reader, "store", result_code::bad_value, "'store' must be own or registry");
     }
     settings.store = kind == "registry" ? store_kind::registry : store_kind::own;
     settings.platform_timeout =
@@ -105,7 +105,7 @@
     settings.secret.bytes = read_required(reader, "shared_secret");
     if (settings.secret.bytes.size() < min_secret_length) {
         report(reader, "shared_secret", result_code::bad_value,
-               "'shared_secret' needs at least " + std::to_string(min_secret_length) +
+               "'shared_secret' must have at least " + std::to_string(min_secret_length) +
                    " characters");
     }
 }
@@ -154,8 +154,7 @@
     } else if (section.kind == "log") {
         settings.log_level = read_text(reader, "level", settings.log_level);
     } else {
-        report(reader, "", result_code::unknown_section,
-               "settings have no section '" + section.kind + "'");
+        report(reader, "", result_code::unknown_section, "unknown section '" + section.kind + "'");
         return;
     }
     finish(reader);
--- a/source/config/section_reader.cpp
+++ b/source/config/section_reader.cpp
@@ -21,7 +21,7 @@
     }
     if (found->is_list_part) {
         report(reader, key, result_code::bad_value,
-               "'" + std::string(key) + "' takes one value and is written without []");
+               "'" + std::string(key) + "' is not a list; write it without []");
         return nullptr;
     }
     return &*found;
@@ -73,9 +73,9 @@
         problem == std::errc{} && end == last && number >= range.lowest && number <= range.highest;
     if (!is_good) {
         report(reader, key, result_code::bad_value,
-               "'" + std::string(key) + "' takes a whole number from " +
+               "'" + std::string(key) + "' must be an integer from " +
                    std::to_string(range.lowest) + " to " + std::to_string(range.highest) +
-                   ", not '" + entry->value + "'");
+                   ", got '" + entry->value + "'");
         return fallback;
     }
     return number;
@@ -102,7 +102,7 @@
                          value <= static_cast<double>(range.highest);
     if (!is_good) {
         report(reader, key, result_code::bad_value,
-               "'" + std::string(key) + "' takes a number from " + std::to_string(range.lowest) +
+               "'" + std::string(key) + "' must be a number from " + std::to_string(range.lowest) +
                    " to " + std::to_string(range.highest));
         return fallback;
     }
@@ -126,7 +126,7 @@
     }
     if (entry->value != "yes" && entry->value != "no") {
         report(reader, key, result_code::bad_value,
-               "'" + std::string(key) + "' takes yes or no, not '" + entry->value + "'");
+               "'" + std::string(key) + "' must be yes or no, got '" + entry->value + "'");
         return fallback;
     }
     return entry->value == "yes";
