--- a/source/common/endpoint.h
+++ b/source/common/endpoint.h
@@ -9,7 +9,7 @@
 
 namespace almondquay {
 
-/// An IPv4 address in text form and a port. Peers are named by number only.
+/// An IPv4 address in dotted decimal form and a port. Host names are not resolved.
 struct endpoint {
     std::string address;
     std::uint16_t port = 0;
@@ -17,10 +17,10 @@
     auto operator<=>(const endpoint&) const = default;
 };
 
-/// Reads "127.0.1.1:7000". Errors: bad_value.
+/// Parses "127.0.1.1:7000". Errors: bad_value.
 result<endpoint> parse_endpoint(std::string_view text);
 
-/// Reads a decimal port from 1 to 65535. Errors: bad_value.
+/// Parses a decimal port from 1 to 65535. Errors: bad_value.
 result<std::uint16_t> parse_port(std::string_view text);
 
 /// True for four dotted decimal numbers from 0 to 255.
--- a/source/common/overloaded.h
+++ b/source/common/overloaded.h
@@ -2,7 +2,7 @@
 
 namespace almondquay {
 
-/// Joins lambdas to one visitor for std::visit.
+/// Combines lambdas into one visitor for std::visit.
 template <class... Handlers> struct overloaded : Handlers... {
     using Handlers::operator()...;
 };
--- a/source/common/result.h
+++ b/source/common/result.h
@@ -6,10 +6,10 @@
 #include <utility>
 #include <variant>
 
-/// Results as values: every operation that can fail returns either its value or an `error`.
+/// Error handling without exceptions: an operation that can fail returns its value or an `error`.
 namespace almondquay {
 
-/// Why an operation failed: the number that the docs explain and the particulars of this case.
+/// Why an operation failed: a documented result code and the details of this failure.
 struct error {
     result_code code = result_code::ok;
     std::string detail;
@@ -17,7 +17,7 @@
     bool operator==(const error&) const = default;
 };
 
-/// A value of type T or the error that stood in its way.
+/// A value of type T, or the error of the operation that should have produced it.
 template <class T> using result = std::variant<T, error>;
 
 /// The value of an operation that succeeds with nothing to return.
--- a/source/common/result_code.h
+++ b/source/common/result_code.h
@@ -4,12 +4,12 @@
 #include <span>
 #include <string_view>
 
-/// The numbered outcomes that every program, header and log line of the project shares.
+/// The result codes used in all programs, HTTP headers and log lines of the project.
 namespace almondquay {
 
-/// One number for each way an operation can end. The thousands digit names the area:
-/// 1 texts and settings, 2 platform, 3 caller requests, 4 claims, 5 peers, 6 command line.
-/// docs/RESULT_CODES.md lists them; a unit test keeps the page and this list equal.
+/// One number for each way an operation can end. The thousands digit is the area:
+/// 1 configuration and settings, 2 platform, 3 caller requests, 4 claims, 5 peers, 6 command line.
+/// docs/RESULT_CODES.md lists them; a unit test checks that the page matches this list.
 enum class result_code : std::uint16_t {
     ok = 0,
 
@@ -84,24 +84,23 @@
     host_not_logged = 6007,
 };
 
-/// One row of the table of result codes.
 struct result_code_row {
     result_code code;
     std::string_view name;
     std::string_view meaning;
 };
 
-/// All rows in ascending order of their numbers.
+/// All rows, ordered by code.
 std::span<const result_code_row> result_code_table();
 
 /// The name of `code` as it is written in headers and logs, such as "no_free_slot".
 std::string_view name_of(result_code code);
 
-/// The one-sentence meaning of `code` as it is shown to operators and callers.
+/// The one-sentence description of `code` that is shown to operators and callers.
 std::string_view meaning_of(result_code code);
 
 /// The exit status of a command that ended with `code`: 0 for ok, else the area digit, so that
-/// scripts can tell a refused text (1) from an unreachable platform (2).
+/// scripts can tell an invalid configuration (1) from an unreachable platform (2).
 int exit_status_of(result_code code);
 
 } // namespace almondquay
--- a/source/common/strong_type.h
+++ b/source/common/strong_type.h
@@ -9,7 +9,7 @@
 /// Strong types for identifiers and units, so that a host cannot be passed for a target.
 namespace almondquay {
 
-/// A value of type T that only mixes with others of the same Tag.
+/// A value of type T that can only be compared and exchanged with values of the same Tag.
 template <class Tag, class T> struct strong {
     T value{};
 
@@ -27,14 +27,14 @@
 using target_id = strong<struct target_tag, std::string>;
 using route_id = strong<struct route_tag, std::string>;
 
-/// Counts the accepted configurations; a host only ever moves to a higher one.
+/// Version number of the accepted configuration; a host only applies higher ones.
 using generation = strong<struct generation_tag, std::uint64_t>;
-/// Tells apart the lives of a host that keeps its name and address.
+/// Distinguishes successive runs of a host or target under the same name and address.
 using incarnation = strong<struct incarnation_tag, std::uint64_t>;
-/// The store's counter of changes, common to all its objects.
+/// The store's change counter, shared by all its objects.
 using store_revision = strong<struct store_revision_tag, std::uint64_t>;
 
-/// Requests that a target serves at the same time.
+/// Number of requests that a target serves concurrently.
 using slot_count = strong<struct slot_tag, std::uint32_t>;
 using megabits_per_second = strong<struct megabits_tag, double>;
 using percent = strong<struct percent_tag, double>;
