--- a/source/timeline/decision.h
+++ b/source/timeline/decision.h
@@ -7,10 +7,10 @@
 #include <string_view>
 #include <vector>
 
-/// Decisions as records: what was decided, from what, by which rule and because of what.
+/// Decision records: what a host decided, from which inputs, by which rule and with which causes.
 namespace almondquay {
 
-/// One value that a decision looked at.
+/// One value that a decision was based on.
 struct decision_input {
     std::string name;
     std::string value;
@@ -19,11 +19,11 @@
 };
 
 struct decision {
-    std::string id; ///< "host/incarnation/number", unique for ever
+    std::string id; ///< "host/incarnation/number", globally unique
     hybrid_time time;
     std::string host;
     std::string kind;                ///< such as "adopt_fleet"
-    std::string rule;                ///< the rule that chose, as one sentence
+    std::string rule;                ///< the rule that was applied, as one sentence
     std::string summary;             ///< what was decided, as one sentence
     std::vector<std::string> causes; ///< ids of the decisions that led to this one
     std::vector<decision_input> inputs;
@@ -31,7 +31,7 @@
     bool operator==(const decision&) const = default;
 };
 
-/// JSON array of decisions, as it is passed between processes and printed with --json.
+/// Serialises to a JSON array, the format used between processes and for --json output.
 std::string encode(const std::vector<decision>& decisions);
 
 /// Errors: peer_message_malformed.
--- a/source/timeline/explain.cpp
+++ b/source/timeline/explain.cpp
@@ -49,7 +49,7 @@
         by_id.emplace(d.id, &d);
     }
     if (!by_id.contains(id)) {
-        return error{result_code::decision_unknown, "no host has a decision '" + id + "'"};
+        return error{result_code::decision_unknown, "no host has a decision with id '" + id + "'"};
     }
     std::vector<decision> chain;
     std::set<std::string> seen;
--- a/source/timeline/explain.h
+++ b/source/timeline/explain.h
@@ -7,13 +7,13 @@
 
 namespace almondquay {
 
-/// Merges the records of several hosts in causal order without repeats.
+/// Merges the decisions of several hosts into causal order and removes duplicates.
 std::vector<decision> merge_timelines(std::vector<std::vector<decision>> records);
 
-/// One decision with all the decisions that led to it, causes first. Errors: decision_unknown.
+/// A decision preceded by all its direct and indirect causes. Errors: decision_unknown.
 result<std::vector<decision>> causes_of(const std::vector<decision>& merged, const std::string& id);
 
-/// The chain as text for someone who was asleep: time, host, what, why and from which values.
+/// Formats the chain for operators: time, host, summary, rule, inputs and causes of each decision.
 std::string explain(const std::vector<decision>& chain);
 
 /// "2026-03-11T02:14:07.120Z".
--- a/source/timeline/ring.h
+++ b/source/timeline/ring.h
@@ -9,18 +9,18 @@
 
 namespace almondquay {
 
-/// Decisions that one host keeps; the oldest make room for the newest.
+/// Number of decisions that a host keeps; the oldest are overwritten.
 constexpr std::size_t timeline_capacity = 4'096;
 
-/// The bounded record of one host's decisions.
+/// A host's most recent decisions, in a ring buffer.
 struct timeline_ring {
     boost::circular_buffer<decision> decisions{timeline_capacity};
-    std::uint64_t dropped = 0; ///< decisions that had to make room
+    std::uint64_t dropped = 0; ///< decisions that were overwritten
 };
 
 void record(timeline_ring& ring, decision d);
 
-/// The decisions from `since` on, oldest first.
+/// The decisions at or after `since`, oldest first.
 std::vector<decision> decisions_since(const timeline_ring& ring, hybrid_time since);
 
 } // namespace almondquay
