--- a/source/trace/log_line.cpp
+++ b/source/trace/log_line.cpp
@@ -19,7 +19,7 @@
     return std::isxdigit(digit) != 0 ? std::tolower(digit) - 'a' + 10 : 0;
 }
 
-/// Takes a quoted value, of which the opening quote has been taken, from the front of `rest`.
+/// Removes a quoted value, whose opening quote has been removed already, from the front of `rest`.
 std::string take_quoted(std::string_view& rest)
 {
     std::string value;
@@ -54,7 +54,7 @@
     return value;
 }
 
-/// Takes a number of just these digits.
+/// Removes a number of exactly `digits` digits from the front of `rest`.
 std::optional<int> take_number(std::string_view& rest, std::size_t digits)
 {
     int value = 0;
@@ -78,7 +78,7 @@
     return true;
 }
 
-/// Microseconds of ".051394"; nothing there counts as 0.
+/// Parses a fraction of a second such as ".051394"; 0 if there is none.
 log_time take_fraction(std::string_view& rest)
 {
     log_time fraction{0};
--- a/source/trace/log_line.h
+++ b/source/trace/log_line.h
@@ -8,29 +8,30 @@
 #include <utility>
 #include <vector>
 
-/// A line of a host's log, as logging/log.h writes it.
+/// Parser for log lines as written by logging/log.h.
 namespace almondquay {
 
-using log_time = std::chrono::microseconds; ///< since the epoch, by the clock of the host
+using log_time = std::chrono::microseconds; ///< since the epoch, by the host's clock
 
 struct log_line {
-    std::string time_text; ///< as it stands in the line
+    std::string time_text; ///< as written in the line
     log_time time{0};
     std::string process;
     std::string event;
-    std::vector<std::pair<std::string, std::string>> fields; ///< all others, in their order
+    std::vector<std::pair<std::string, std::string>> fields; ///< all other fields, in order
 };
 
-/// Reads a line. What collectors put before "time=" is passed over. Nothing if it is no log line.
+/// Parses a line, ignoring any prefix that a log collector put before "time=". Returns nullopt if
+/// it is not a log line.
 std::optional<log_line> parse_log_line(std::string_view text);
 
-/// The value of a field, or an empty text.
+/// The value of a field, or an empty string.
 std::string_view field_of(const log_line& line, std::string_view key);
 
-/// The value of one of a decision's inputs, or an empty text.
+/// The value of one of a decision's inputs, or an empty string.
 std::string_view input_of(const log_line& line, std::string_view key);
 
-/// Reads "2026-04-26T10:37:56.051394Z"; fewer digits of the second will do.
+/// Parses "2026-04-26T10:37:56.051394Z"; the fraction may be shorter or absent.
 std::optional<log_time> parse_log_time(std::string_view text);
 
 } // namespace almondquay
--- a/source/trace/log_source.cpp
+++ b/source/trace/log_source.cpp
@@ -59,7 +59,7 @@
     }
     if (!out.flush()) {
         fs::remove(name);
-        return unreadable(name, "cannot be written");
+        return unreadable(name, "cannot write temporary file");
     }
     return name;
 }
@@ -91,7 +91,7 @@
 log_source::~log_source()
 {
     if (!spooled_.empty()) {
-        std::error_code ignored; // A file that is left behind lies among temporary ones.
+        std::error_code ignored; // A file that cannot be removed stays in the temporary directory.
         fs::remove(spooled_, ignored);
     }
 }
--- a/source/trace/log_source.h
+++ b/source/trace/log_source.h
@@ -7,12 +7,12 @@
 #include <string_view>
 #include <vector>
 
-/// The logs of many hosts as lines: files, folders with files, or standard input.
+/// Reads the logs of several hosts line by line from files, directories or standard input.
 namespace almondquay {
 
 class log_source {
 public:
-    /// No paths: standard input, which is kept in a temporary file since logs are read more than
+    /// Without paths standard input is copied to a temporary file, since logs are read more than
     /// once. Errors: text_unreadable.
     static result<log_source> open(const std::vector<std::string>& paths);
     ~log_source();
@@ -21,8 +21,8 @@
     log_source(const log_source&) = delete;
     log_source& operator=(const log_source&) = delete;
 
-    /// Calls `take` with each line, file by file, in the order of their names. Memory stays flat.
-    /// `progress`, if set, is told now and then how many bytes have been read.
+    /// Calls `take` for each line, file by file; the files of a directory are sorted by name. Only
+    /// one line is held in memory. `progress`, if set, is called periodically with the bytes read.
     /// Errors: text_unreadable.
     result<done> each_line(const std::function<void(std::string_view)>& take) const;
 
@@ -32,7 +32,7 @@
     log_source() = default;
 
     std::vector<std::string> files_;
-    std::string spooled_; ///< a temporary file, removed in the end
+    std::string spooled_; ///< temporary copy of standard input, removed by the destructor
 };
 
 } // namespace almondquay
--- a/source/trace/request_cause.cpp
+++ b/source/trace/request_cause.cpp
@@ -16,7 +16,7 @@
     return line.event == "request_ended" || line.event == "request_refused";
 }
 
-/// Whether a line tells why a request ended with this result.
+/// Whether a line explains why a request ended with this result.
 bool decides(const log_line& line, std::string_view result)
 {
     return line.event == "attempt_failed"
@@ -40,8 +40,8 @@
     return found == lines.rend() ? nullptr : &*found;
 }
 
-/// The attempt that decided. It need not be the last one: what an earlier attempt may have done is
-/// not undone by one that did not run.
+/// The attempt that caused the result. It need not be the last one: if an earlier attempt may have
+/// run, a later one that did not run does not change the outcome.
 const log_line* deciding_attempt(const request_story& story, const log_line& end)
 {
     const auto result = field_of(end, "result");
@@ -52,7 +52,7 @@
     return found == story.lines.rend() ? nullptr : &*found;
 }
 
-/// What the host heard of the target next after an attempt; a crash shows there.
+/// The host's first decision about the target after an attempt; it reveals a crash of the target.
 const log_line* next_about(const request_story& story, const log_line& attempt)
 {
     constexpr std::array kinds{"target_gone", "target_listed", "eject_target", "leave_out_target"};
@@ -64,7 +64,7 @@
     return found == story.context.end() ? nullptr : &*found;
 }
 
-/// The latest of the host's own decisions of these kinds before a line.
+/// The same host's latest decision of one of these kinds before a line.
 const log_line* latest_before(const request_story& story, const log_line& line,
                               std::initializer_list<std::string_view> kinds)
 {
@@ -90,31 +90,34 @@
            " ms later: " + text_of(field_of(*next, "summary"));
 }
 
-/// A host without the store may act on what is no longer so.
+/// Reports lost contact with the store, since the host may then act on outdated data.
 std::string store_text(const request_story& story, const log_line& line)
 {
     const auto* latest = latest_before(story, line, {"store_away", "store_answers"});
     const bool is_away = latest != nullptr && latest->event == "store_away";
-    return is_away ? " The host had been without the store since " + latest->time_text + "." : "";
+    return is_away ? " The host had been unable to reach the store since " + latest->time_text + "."
+                   : "";
 }
 
 std::string overload_text(const log_line& a)
 {
     const auto age = field_of(a, "report_age_ms");
-    const std::string load = age.empty()
-                                 ? "nothing was known of its load"
-                                 : "its load was known from " + milliseconds_text(age) + " before";
-    return "No target could answer in time: at " + text_of(field_of(a, "target")) + " a wait of " +
-           milliseconds_text(field_of(a, "predicted_wait_ms")) + " and work of " +
-           milliseconds_text(field_of(a, "work_ms")) + " were predicted, and " +
-           milliseconds_text(field_of(a, "left_ms")) + " were left; " + load + ".";
+    const std::string load =
+        age.empty() ? "there was no report of its load"
+                    : "the latest report of its load was " + milliseconds_text(age) + " old";
+    return "No target could answer in time: at " + text_of(field_of(a, "target")) +
+           " a queueing time of " + milliseconds_text(field_of(a, "predicted_wait_ms")) +
+           " and a service time of " + milliseconds_text(field_of(a, "work_ms")) +
+           " were predicted, and " + milliseconds_text(field_of(a, "left_ms")) + " were left; " +
+           load + ".";
 }
 
 std::string shed_text(const log_line& a)
 {
-    return "Target " + text_of(field_of(a, "target")) + " refused it unrun after " +
-           milliseconds_text(field_of(a, "took_ms")) + "; by its last report " +
-           text_of(field_of(a, "waiting")) + " requests waited there.";
+    return "Target " + text_of(field_of(a, "target")) +
+           " shed the request without running it after " +
+           milliseconds_text(field_of(a, "took_ms")) + "; its latest report had " +
+           text_of(field_of(a, "waiting")) + " requests waiting.";
 }
 
 std::string attempt_text(const request_story& story, std::string_view result, const log_line& a)
@@ -131,17 +134,18 @@
         return target + " did not answer within " + took + "." + after_text(story, a);
     }
     if (result == name_of(target_unreachable)) {
-        return target + " took no connection." + after_text(story, a) + store_text(story, a);
+        return target + " did not accept the connection." + after_text(story, a) +
+               store_text(story, a);
     }
     if (result == name_of(target_answer_lost)) {
-        return target + " ended the connection after " + took + " without a whole answer." +
+        return target + " closed the connection after " + took + " without a complete answer." +
                after_text(story, a);
     }
     if (result == name_of(target_answer_malformed)) {
-        return target + " sent what is no answer to this request, after " + took + ".";
+        return target + " sent a malformed answer after " + took + ".";
     }
     if (result == name_of(target_failed)) {
-        return target + " answered with a failure of its own after " + took + ".";
+        return target + " answered with an error of its own after " + took + ".";
     }
     if (result == name_of(target_replaced)) {
         return "Another target had taken the address of target " + text_of(field_of(a, "target")) +
@@ -151,10 +155,10 @@
         return target + " was withdrawn while the connection was made.";
     }
     if (result == name_of(caller_gone)) {
-        return "The caller left while target " + text_of(field_of(a, "target")) +
-               " had the request, after " + took + ".";
+        return "The caller disconnected while target " + text_of(field_of(a, "target")) +
+               " was handling the request, after " + took + ".";
     }
-    return target + " failed it after " + took + ".";
+    return target + " failed the request after " + took + ".";
 }
 
 result_code code_named(std::string_view name)
@@ -174,25 +178,25 @@
     if (code == host_not_ready) {
         const auto* started = latest_before(story, end, {"started", "start_serving"});
         return text_of(meaning_of(code)) +
-               (started == nullptr ? "" : " It had started at " + started->time_text + ".") +
+               (started == nullptr ? "" : " The host had started at " + started->time_text + ".") +
                store_text(story, end);
     }
     if (code == caller_gone) {
-        return "The caller left before the request had been sent to a target.";
+        return "The caller disconnected before the request was sent to a target.";
     }
     return text_of(meaning_of(code)) + store_text(story, end);
 }
 
 std::string dropped_text(const request_story& story)
 {
-    std::string text = "No line names this request.";
+    std::string text = "No log line has this request id.";
     for (const auto& [host, lines] : story.dropped) {
-        text += " " + host + " had no room for " + std::to_string(lines) + " lines about failures.";
+        text += " " + host + " dropped " + std::to_string(lines) + " log lines about failures.";
     }
     return text;
 }
 
-/// Attempts that failed besides the one that decided.
+/// The number of failed attempts other than the decisive one.
 std::string others_text(const request_story& story, const log_line* deciding)
 {
     const auto failed = std::ranges::count_if(story.lines, [&](const log_line& line) {
@@ -222,13 +226,13 @@
     cause.outcome = text_of(field_of(last, "outcome"));
     if (end == nullptr) {
         cause.result.clear();
-        cause.text = "The logs do not tell how it ended; the last line is of " + last.time_text +
-                     " at " + last.process + ".";
+        cause.text = "The logs do not show how the request ended; its last line is of " +
+                     last.time_text + " at host " + last.process + ".";
         return cause;
     }
     const auto code = code_named(cause.result);
     if (code == ok) {
-        cause.text = "It was served." + others_text(story, nullptr);
+        cause.text = "The request succeeded." + others_text(story, nullptr);
         return cause;
     }
     if (const auto* attempt = deciding_attempt(story, *end); attempt != nullptr) {
--- a/source/trace/request_cause.h
+++ b/source/trace/request_cause.h
@@ -6,13 +6,13 @@
 
 namespace almondquay {
 
-/// Why a request ended as it did, as far as the logs tell.
+/// Why a request ended with its result, as far as the logs show.
 struct request_cause {
-    std::string result;  ///< name of the result code; empty: the logs do not tell
-    std::string outcome; ///< "ran", "not-run" or "unknown"; empty: not told
-    std::string host;    ///< that ended the request
-    std::string target;  ///< of the attempt that decided; empty: there was none
-    std::string text;    ///< one or two sentences for people
+    std::string result;  ///< name of the result code; empty if not logged
+    std::string outcome; ///< "ran", "not-run" or "unknown"; empty if not logged
+    std::string host;    ///< host that completed the request
+    std::string target;  ///< target of the decisive attempt; empty if there was none
+    std::string text;    ///< one or two sentences for the operator
 };
 
 request_cause find_cause(const request_story& story);
--- a/source/trace/request_story.cpp
+++ b/source/trace/request_story.cpp
@@ -10,7 +10,7 @@
 
 constexpr std::string_view dropped_event = "log_lines_dropped";
 
-/// Merges the lines of several hosts by time; those of one host stay in their order.
+/// Merges the lines of several hosts by time, keeping the order of each host's lines.
 std::vector<log_line> merged(const std::map<std::string, std::vector<log_line>>& by_host)
 {
     std::map<std::string, std::size_t> next;
@@ -90,7 +90,7 @@
     return number;
 }
 
-/// Most lines are passed over without reading them.
+/// Cheap pre-check that skips most lines without parsing them.
 bool may_be_decision(std::string_view text)
 {
     return text.find(" inputs=") != std::string_view::npos ||
--- a/source/trace/request_story.h
+++ b/source/trace/request_story.h
@@ -7,29 +7,29 @@
 #include <string>
 #include <vector>
 
-/// What the logs of all hosts tell of one request.
+/// Collects the log lines of all hosts about one request.
 namespace almondquay {
 
 struct request_story {
     std::string id;
-    /// Lines that name the request, in the order of events: lines of one host keep their order even
+    /// Lines with the request's id, in the order of events: lines of one host keep their order even
     /// if its clock jumps; those of several hosts are merged by time.
     std::vector<log_line> lines;
-    /// What the same hosts decided about the targets that the request was sent to, about the
-    /// request itself and about their store, shortly before and after; merged into one order.
+    /// Decisions of the same hosts shortly before and after the request, about its targets, the
+    /// request itself, the store and the hosts' own state; merged in the same way.
     std::vector<log_line> context;
-    /// Lines about failures that hosts had no room for, by host.
+    /// Number of lines about failures that were not logged because of the rate limit, by host.
     std::map<std::string, std::uint64_t> dropped;
 };
 
-/// Decisions so long before a request's first line belong to its story.
+/// Decisions up to this long before the request's first line are part of the context.
 constexpr std::chrono::seconds context_before{30};
-/// And those so long after its last line, since a crash shows in what follows.
+/// Decisions up to this long after its last line, since the effects of a crash are logged later.
 constexpr std::chrono::seconds context_after{10};
-/// Lines of a story and of its context; more would not be read.
+/// Limit of the request's lines and of its context lines; more would be of no use to a reader.
 constexpr std::size_t max_story_lines = 500;
 
-/// Reads the logs twice. Errors: text_unreadable.
+/// Reads the logs twice: first for the request, then for its context. Errors: text_unreadable.
 result<request_story> read_story(const log_source& logs, const std::string& id);
 
 } // namespace almondquay
--- a/unit_tests/processes/trace_causes.sh
+++ b/unit_tests/processes/trace_causes.sh
@@ -39,7 +39,7 @@
 
 wait_until 5 grep -q event=started "$log"
 ask early /main/a
-expect_cause early host_not_ready "It had started at"
+expect_cause early host_not_ready "The host had started at"
 
 target_entry 1 main
 target_entry 9 replaced 1
@@ -65,7 +65,7 @@
     }
     wait_until 3 grep -q 'event=leave_out_target .*target:i-7' "$log"
     later_ms=$((($(logged_us 'event=leave_out_target .*target:i-7') - $(logged_us 'event=attempt_failed .*target=i-7')) / 1000))
-    expect_cause refused target_unreachable "Target i-7 took no connection. $later_ms ms later: Target i-7 refused"
+    expect_cause refused target_unreachable "Target i-7 did not accept the connection. $later_ms ms later: Target i-7 refused"
     expect "the target is left out at once, not only at the next tick of 250 ms" at_most "$later_ms" 249
     finish
 fi
@@ -80,13 +80,13 @@
 expect "the request ended at its deadline" at_most 700 "$(took_ms request_ended)"
 expect "and soon after it" at_most "$(took_ms request_ended)" 799
 ask dropped "/main/a?fault=drop"
-expect_cause dropped target_answer_lost "Target i-1 ended the connection"
+expect_cause dropped target_answer_lost "Target i-1 closed the connection"
 ask cut "/main/a?fault=cut"
-expect_cause cut target_answer_lost "Target i-1 ended the connection"
+expect_cause cut target_answer_lost "Target i-1 closed the connection"
 ask garbage "/main/a?fault=garbage"
-expect_cause garbage target_answer_malformed "Target i-1 sent what is no answer"
+expect_cause garbage target_answer_malformed "Target i-1 sent a malformed answer"
 ask shed "/main/a?fault=shed"
-expect_cause shed target_shed "Target i-1 refused it unrun"
+expect_cause shed target_shed "Target i-1 shed the request without running it"
 ask hurried /main/a 1
 expect_cause hurried overloaded "were predicted, and"
 ask replaced /replaced/a
@@ -98,7 +98,7 @@
 printf 'POST /main/a HTTP/1.1\r\nHost: a.example\r\nX-Request-Id: slow\r\nX-Deadline-Ms: 500\r\nContent-Length: 9\r\n\r\nx' | raw 127.0.1.1:7000 2 >/dev/null
 expect_cause slow request_too_slow "The request did not arrive in time"
 { printf 'GET /main/a?fault=never HTTP/1.1\r\nHost: a.example\r\nX-Request-Id: left\r\n\r\n' >&7; sleep 0.3; } 7<>/dev/tcp/127.0.1.1/7000
-expect_cause left caller_gone "The caller left while target i-1 had the request"
+expect_cause left caller_gone "The caller disconnected while target i-1 was handling the request"
 for n in 1 2 3; do
     ask "crash-$n" "/crashing/a?fault=exit"
     sleep 0.6
--- a/unit_tests/trace/trace_test.cpp
+++ b/unit_tests/trace/trace_test.cpp
@@ -16,7 +16,7 @@
 
 namespace fs = std::filesystem;
 
-/// A folder of logs, one file a host, removed in the end.
+/// A temporary directory with one log file per host.
 class log_folder {
 public:
     explicit log_folder(const std::map<std::string, std::string>& logs)
@@ -156,12 +156,13 @@
                        line("01", "a", "request_ended request=r result=target_answer_lost") +
                        decision("02", "a", "target_gone", "Target t2 is gone.", "target:t2") +
                        decision("03", "a", "target_gone", "Target t1 is gone.", "target:t1")}});
-        CPPUNIT_ASSERT_EQUAL(std::string("Target t1 ended the connection after 20 ms without a "
-                                         "whole answer. 2000 ms later: Target t1 is gone."),
+        CPPUNIT_ASSERT_EQUAL(std::string("Target t1 closed the connection after 20 ms without a "
+                                         "complete answer. 2000 ms later: Target t1 is gone."),
                              cause_in(logs, "r").text);
     }
 
-    /// Found on the log of a played day.
+    /// The last attempt was reported as the cause although an earlier one, which may have run, had
+    /// determined the result.
     void the_attempt_that_decided_need_not_be_the_last()
     {
         const log_folder logs(
@@ -187,9 +188,10 @@
                             "attempt_failed request=r target=t1 "
                             "result=target_unreachable") +
                        line("05", "a", "request_ended request=r result=target_unreachable")}});
-        CPPUNIT_ASSERT_EQUAL(std::string("Target t1 took no connection. The host had been without "
-                                         "the store since 2026-12-04T10:00:01Z."),
-                             cause_in(logs, "r").text);
+        CPPUNIT_ASSERT_EQUAL(
+            std::string("Target t1 did not accept the connection. The host had been "
+                        "unable to reach the store since 2026-12-04T10:00:01Z."),
+            cause_in(logs, "r").text);
     }
 
     void ids_that_contain_another_are_told_apart()
@@ -206,7 +208,7 @@
                                          line("02", "a", "log_lines_dropped lines=3")}});
         const auto cause = cause_in(logs, "r");
         CPPUNIT_ASSERT(cause.result.empty());
-        CPPUNIT_ASSERT_EQUAL(std::string("No line names this request. a had no room for 10 lines "
+        CPPUNIT_ASSERT_EQUAL(std::string("No log line has this request id. a dropped 10 log lines "
                                          "about failures."),
                              cause.text);
     }
