--- a/source/trace/request_cause.cpp
+++ b/source/trace/request_cause.cpp
@@ -115,7 +115,7 @@
 std::string shed_text(const log_line& a)
 {
     return "Target " + text_of(field_of(a, "target")) +
-           " shed the request without running it after " +
+           " shed the request without running it, after " +
            milliseconds_text(field_of(a, "took_ms")) + "; its latest report had " +
            text_of(field_of(a, "waiting")) + " requests waiting.";
 }
