--- a/source/logging/event_schema.h
+++ b/source/logging/event_schema.h
@@ -3,19 +3,18 @@
 #include <span>
 #include <string_view>
 
-/// Every event that a process logs, with its fields. docs/LOG_EVENTS.md is the same table.
+/// All events that a process logs, with their fields. docs/LOG_EVENTS.md contains the same table.
 namespace almondquay::log {
 
 struct event_row {
     std::string_view name;
-    std::string_view fields; ///< names in alphabetical order, with a space between them
-    bool is_decision =
-        false; ///< `fields` are its inputs; it has those of `decision_fields` as well
+    std::string_view fields;  ///< field names in alphabetical order, separated by spaces
+    bool is_decision = false; ///< `fields` are its inputs, in addition to `decision_fields`
     std::string_view meaning;
 };
 
-/// What each decision's line has: its id, what was decided, the rule that chose, the ids of the
-/// decisions that led to it, and its inputs as "name:value name:value".
+/// Fields of every decision: its id, a summary, the rule that was applied, the ids of the decisions
+/// that caused it, and its inputs as "name:value name:value".
 constexpr std::string_view decision_fields = "causes id inputs rule summary";
 
 std::span<const event_row> event_schema();
--- a/source/logging/line_writer.cpp
+++ b/source/logging/line_writer.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// How many bytes of `text` were taken; 0 if the reader is behind or gone.
+/// Returns the number of bytes written; 0 if the write would block or fails.
 std::size_t write_some(int descriptor, std::string_view text)
 {
     ssize_t written = 0;
--- a/source/logging/log.cpp
+++ b/source/logging/log.cpp
@@ -56,7 +56,7 @@
     return head;
 }
 
-/// Standard output. Lines that its reader has no room for are dropped and counted.
+/// Sink for standard output. Lines whose write would block are dropped and counted.
 class output_backend
     : public sinks::basic_formatted_sink_backend<char, sinks::synchronized_feeding> {
 public:
--- a/unit_tests/logging/event_schema_test.cpp
+++ b/unit_tests/logging/event_schema_test.cpp
@@ -18,7 +18,7 @@
 
 using names = std::set<std::string>;
 
-/// Events as the code writes them, with their fields or a decision's inputs.
+/// Events found in the source code, with their fields or, for decisions, their inputs.
 struct written_events {
     std::map<std::string, names> lines;
     std::map<std::string, names> decisions;
@@ -31,7 +31,7 @@
     return text.str();
 }
 
-/// The arguments of the call whose opening bracket is at `open`.
+/// The arguments of the call whose opening parenthesis is at `open`.
 std::string arguments_at(const std::string& text, std::size_t open)
 {
     int depth = 0;
@@ -57,7 +57,7 @@
     return found;
 }
 
-/// The first words of all pairs in braces: {"word", ...}.
+/// The first string literal of each braced list: {"word", ...}.
 std::vector<std::string> first_words(const std::string& arguments)
 {
     return matches(arguments, R"re(\{\s*"([a-z_]+)"\s*,)re");
@@ -70,7 +70,7 @@
         const auto open = text.find('(', static_cast<std::size_t>(it->position()));
         const auto arguments = arguments_at(text, open);
         const auto name = matches(arguments, R"re(level::\w+,\s*"([a-z_]+)")re");
-        if (!name.empty()) { // The names of decisions are not written out there.
+        if (!name.empty()) { // Decisions are logged by a call without a literal event name.
             const auto fields = first_words(arguments);
             all.lines[name.front()].insert(fields.begin(), fields.end());
         }
@@ -151,7 +151,7 @@
         for (const auto& row : event_schema()) {
             const std::string name(row.name);
             if (name == "log_output_behind") {
-                continue; // The output itself writes it.
+                continue; // Written by the log sink without log::write.
             }
             const auto& kind = row.is_decision ? written.decisions : written.lines;
             CPPUNIT_ASSERT_MESSAGE(name + " is never written", kind.contains(name));
--- a/unit_tests/logging/line_writer_test.cpp
+++ b/unit_tests/logging/line_writer_test.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// A pipe whose reader takes nothing until it is told to.
+/// A pipe that is not read until read_all() is called.
 class lazy_reader {
 public:
     lazy_reader() { CPPUNIT_ASSERT_EQUAL(0, ::pipe(ends_.data())); }
@@ -55,10 +55,10 @@
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    /// Without never_wait() this test does not end.
+    /// With a blocking descriptor this test would hang.
     void a_reader_that_stops_costs_lines_and_no_time()
     {
-        constexpr int lines = 10'000; // Far more than a pipe holds.
+        constexpr int lines = 10'000; // Exceeds the capacity of a pipe.
         lazy_reader reader;
         line_writer w{reader.writable_end(), 0, {}};
         CPPUNIT_ASSERT(never_wait(w));
--- a/unit_tests/logging/log_test.cpp
+++ b/unit_tests/logging/log_test.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// What is written to standard output while it lives.
+/// Redirects standard output to a pipe for its lifetime.
 class captured_output {
 public:
     captured_output() : before_(::dup(STDOUT_FILENO))
@@ -60,8 +60,8 @@
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    /// Found by reading logs with the trace command: the standard library's function of the same
-    /// name was chosen, which leaves control characters as they are.
+    /// Overload resolution once picked the standard library's function of the same name instead of
+    /// our own, and control characters were written unescaped.
     void a_value_never_breaks_its_line()
     {
         const auto line = logged("one\ntime=now \"event\"\x1b");
