--- a/source/metrics/registry.cpp
+++ b/source/metrics/registry.cpp
@@ -21,11 +21,11 @@
 namespace hist = boost::histogram;
 
 constexpr double ns_per_second = 1e9;
-/// Series beyond this number are counted together, so that routes and results that come and go
-/// cannot take all memory.
+/// Series beyond this limit are aggregated into one, so that changing routes and results cannot
+/// exhaust memory.
 constexpr std::size_t max_series = 400;
 constexpr std::string_view other = "other";
-/// Upper bounds of the latency buckets in seconds: the usual ones of common collectors.
+/// Upper bounds of the latency buckets in seconds: the default buckets of Prometheus clients.
 constexpr auto latency_bounds =
     std::to_array<double>({0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2.5, 5, 10});
 
@@ -80,7 +80,7 @@
 
 namespace {
 
-/// The entry of a series, or that of all further ones together.
+/// The entry of a series, or the aggregate entry once `max_series` is reached.
 template <class Value> Value& entry_of(std::map<series, Value>& all, const series& s)
 {
     const auto found = all.find(s);
--- a/source/metrics/registry.h
+++ b/source/metrics/registry.h
@@ -11,20 +11,20 @@
 #include <string>
 #include <string_view>
 
-/// Counters and latency histograms of one process, in the text format of common collectors.
+/// Counters, gauges and latency histograms of one process, exposed in the Prometheus text format.
 namespace almondquay::metrics {
 
-/// What a count belongs to: "requests_total" of service "ledger" with result "ok".
+/// A metric name and its labels: "requests_total" of service "ledger" with result "ok".
 struct series {
     std::string name;
     std::string service;
     std::string result;
-    std::string route{}; ///< empty where requests have none
+    std::string route{}; ///< empty if there is no route label
 
     auto operator<=>(const series&) const = default;
 };
 
-/// The shared quantities of a process. All functions may be called from any thread.
+/// The metrics of a process. All functions are thread-safe.
 class registry {
 public:
     static std::unique_ptr<registry> create();
@@ -36,7 +36,7 @@
     void observe(const series& s, std::chrono::nanoseconds latency);
     void set(const series& s, double value);
 
-    /// Everything in the Prometheus text format, version 0.0.4.
+    /// All metrics in the Prometheus text format, version 0.0.4.
     std::string expose() const;
 
     struct shared_state;
--- a/unit_tests/metrics/registry_test.cpp
+++ b/unit_tests/metrics/registry_test.cpp
@@ -33,7 +33,7 @@
         CPPUNIT_ASSERT(has("almondquay_request_seconds_count{service=\"ledger\"} 3"));
     }
 
-    /// 1,400 routes with a dozen results each must not take a small host's memory.
+    /// 1,400 routes with a dozen results each must not exhaust the memory of a small host.
     void series_are_bounded()
     {
         constexpr int routes = 1'400;
