--- a/unit_tests/platform/settings_template_test.cpp
+++ b/unit_tests/platform/settings_template_test.cpp
@@ -12,15 +12,15 @@
 
 using json = nlohmann::json;
 
-/// The entry of a table or list for which a section is rendered.
+/// The table or list entry for which a template section is rendered.
 struct scope {
     std::string key;
     json entry;
     bool is_last = true;
 };
 
-/// The part of the platform's template language that `deploy/entry-host.ini` needs: values by path,
-/// and sections over tables and lists with commas between their entries.
+/// Implements the subset of the platform's template language that `deploy/entry-host.ini` uses:
+/// values by path, and sections that iterate over tables and lists, with commas between entries.
 std::string value_at(const json& fields, const std::string& path, const scope& in)
 {
     if (path == "@") {
