--- a/source/almondquayd/daemon.cpp
+++ b/source/almondquayd/daemon.cpp
@@ -24,11 +24,11 @@
 
 namespace asio = boost::asio;
 
-/// How soon a settings file that changed without a signal is read again.
+/// Interval between checks of the settings file for changes made without a SIGHUP.
 constexpr std::chrono::seconds settings_check_interval{2};
 
-/// The parts of a running host. Members are destroyed from the last to the first, so the ones
-/// that call others stand below them.
+/// Components of a running host. Members are destroyed in reverse order of declaration, so each
+/// one is declared after the members that it calls.
 struct daemon_parts {
     explicit daemon_parts(const process_settings& s) : settings(s) {}
 
@@ -47,7 +47,7 @@
     interpreter effects_runner;
     asio::steady_timer ticks{io};
     asio::signal_set signals{io, SIGTERM, SIGINT, SIGHUP};
-    std::string settings_text; ///< as it was read last
+    std::string settings_text; ///< contents of the settings file when it was last read
     std::chrono::steady_clock::time_point next_settings_check{};
 };
 
@@ -66,8 +66,8 @@
     return text.str();
 }
 
-/// Takes over what may change while the process runs: seeds and the log level. Other changes are
-/// logged and need a restart; a file that cannot be read changes nothing.
+/// Applies the settings that may change at runtime: seeds and the log level. Other changes need a
+/// restart; a file with findings is logged and changes nothing.
 void reload_settings(daemon_parts& d, const std::string& why)
 {
     const auto text = read_file(d.settings.file);
@@ -91,7 +91,7 @@
                 {"log_level", settings.log_level}});
 }
 
-/// The file may change without a signal.
+/// Reloads the settings file if its contents changed without a SIGHUP.
 void check_settings_file(daemon_parts& d)
 {
     const auto now = std::chrono::steady_clock::now();
@@ -117,7 +117,7 @@
     });
 }
 
-/// What a second stop signal tells the operator.
+/// Logs what the shutdown is waiting for; called when a further stop signal arrives.
 void log_waiting(const daemon_parts& d)
 {
     std::uint32_t running = 0;
@@ -126,7 +126,8 @@
     }
     const bool has_grace = d.state.stage == life_stage::leaving;
     log::write(log::level::warning, "still_stopping",
-               {{"waiting_for", has_grace ? "callers to forget this host" : "running requests"},
+               {{"waiting_for",
+                 has_grace ? "callers' cached lookups of this host to expire" : "running requests"},
                 {"running_requests", std::to_string(running)}});
 }
 
--- a/source/almondquayd/interpreter.cpp
+++ b/source/almondquayd/interpreter.cpp
@@ -114,8 +114,8 @@
 
 void run(interpreter& i, const send_claim_message_effect& e)
 {
-    // What the receiver has to say comes as a message of its own, and whoever misses it asks
-    // again, so the answer to the call says nothing.
+    // The RPC result is ignored: the receiver replies with a separate claim message, and a host
+    // that does not receive the reply sends its message again.
     call_rpc(*i.client, i.settings->secret, e.peer, "claim", encode(e.message), peer_timeout,
              [](const result<std::string>&) {});
 }
--- a/source/almondquayd/interpreter.h
+++ b/source/almondquayd/interpreter.h
@@ -11,10 +11,10 @@
 
 #include <functional>
 
-/// Carries out the reducer's effects and turns what comes of them into events.
+/// Executes the effects that the reducer returns and reports their results as events.
 namespace almondquay {
 
-/// The interfaces that effects act on; all live on the control thread.
+/// The interfaces through which effects are executed; all are used on the control thread.
 struct interpreter {
     const process_settings* settings = nullptr;
     object_store* store = nullptr;
@@ -26,7 +26,7 @@
     std::function<void()> exit;
 };
 
-/// Starts each effect in turn; results come back through `emit`.
+/// Starts the effects in order; their results arrive as events through `emit`.
 void carry_out(interpreter& i, effects&& todo);
 
 } // namespace almondquay
--- a/source/almondquayd/operator_api.h
+++ b/source/almondquayd/operator_api.h
@@ -9,7 +9,8 @@
 namespace almondquay {
 
 /// The JSON-RPC methods of an entry host: "fleet", "status", "timeline", "release" and, between
-/// hosts, "claim" and "crash". All run on the control thread, so they see whole states.
+/// hosts, "inventory", "claim" and "crash". All run on the control thread, so each sees a
+/// consistent state.
 rpc_methods make_operator_api(const control_state& state, const timeline_ring& timeline,
                               const traffic_server& traffic, std::function<void(event_body)> emit);
 
