--- a/source/almondquay/command_line.cpp
+++ b/source/almondquay/command_line.cpp
@@ -16,30 +16,30 @@
     command_name name;
     std::size_t operands;
     std::string_view usage;
-    bool takes_logs = false; ///< any number of paths may follow
+    bool takes_logs = false; ///< any number of log paths may follow the operands
 };
 
 constexpr auto commands = std::to_array<command_row>({
     {"check", command_name::check, 1,
      "check FILE                  report all findings in a fleet text"},
-    {"apply", command_name::apply, 1, "apply FILE --read-at N      put a text in force"},
+    {"apply", command_name::apply, 1, "apply FILE --read-at N      put a fleet text in force"},
     {"show", command_name::show, 0,
-     "show                        print the text and drains at the platform"},
+     "show                        print the fleet text and drains stored at the platform"},
     {"status", command_name::status, 0,
      "status                      each host's version, peers and targets"},
     {"drain", command_name::drain, 2,
      "drain KIND NAME             KIND: target, host, failure_domain, region"},
-    {"undrain", command_name::undrain, 2, "undrain KIND NAME           take a drain back"},
+    {"undrain", command_name::undrain, 2, "undrain KIND NAME           remove a drain"},
     {"timeline", command_name::timeline, 0,
      "timeline                    decisions of all hosts in causal order"},
     {"explain", command_name::explain, 1,
-     "explain ID                  a decision with all that led to it"},
+     "explain ID                  a decision with all its causes"},
     {"release", command_name::release, 1,
-     "release FINGERPRINT         take a request out of quarantine"},
+     "release FINGERPRINT         remove a request from quarantine"},
     {"trace", command_name::trace, 1,
-     "trace ID [LOG...]           why a request ended as it did, from hosts' logs", true},
+     "trace ID [LOG...]           the cause of a request's result, from hosts' logs", true},
     {"believed", command_name::believed, 2,
-     "believed HOST TIME [LOG...] what a host had in force at a time, from its log", true},
+     "believed HOST TIME [LOG...] a host's state at a time, from its log", true},
 });
 
 std::string usage()
@@ -51,15 +51,15 @@
     return text + "\noptions:\n"
                   "  --settings FILE             the tool's INI file (not needed by check, trace\n"
                   "                              and believed)\n"
-                  "  --reason TEXT               why, for the people who ask tomorrow\n"
+                  "  --reason TEXT               the reason, recorded with the change\n"
                   "  --read-at N                 the generation that `show` printed\n"
-                  "  --json                      output for programs\n\n"
+                  "  --json                      machine-readable output\n\n"
                   "LOG is a file or a folder with files; without any, logs are read from standard\n"
                   "input. TIME is as in the logs: 2026-04-26T10:37:56Z.\n"
                   "The exit status is the first digit of the result code; 0 is success.\n";
 }
 
-/// Says nothing on its own; the caller prints.
+/// Suppresses TCLAP's own output; `parse_command_line` prints errors and the usage text.
 class silent_output final : public TCLAP::StdOutput {
 public:
     void usage(TCLAP::CmdLineInterface& /*command_line*/) override {}
@@ -129,7 +129,8 @@
     const bool has_operands = is_known && (row->takes_logs ? words.size() > row->operands
                                                            : words.size() == row->operands + 1);
     if (!has_operands) {
-        return error{result_code::usage_error, "'" + words.front() + "' is not used like this"};
+        return error{result_code::usage_error,
+                     "'" + words.front() + "' is unknown or has the wrong number of operands"};
     }
     command_line parsed;
     parsed.name = row->name;
--- a/source/almondquay/command_line.h
+++ b/source/almondquay/command_line.h
@@ -24,7 +24,7 @@
     believed
 };
 
-/// A whole command line. Fields that the command does not take stay empty.
+/// A parsed command line. Fields that the command does not use stay empty.
 struct command_line {
     command_name name = command_name::status;
     std::string settings_file;
@@ -35,12 +35,12 @@
     std::string subject;           ///< drain, undrain: a name; explain, trace: an id; release: a
                                    ///< fingerprint; believed: a host
     std::string at;                ///< believed: a time
-    std::vector<std::string> logs; ///< trace, believed: files and folders; none: standard input
+    std::vector<std::string> logs; ///< trace, believed: files and folders; empty: standard input
     bool json = false;
 };
 
-/// Reads the arguments; prints help or the problem itself. Errors: usage_error; its detail is
-/// empty if help was asked for.
+/// Parses the arguments; prints the usage text and the error, if any. Errors: usage_error; its
+/// detail is empty if help was requested.
 result<command_line> parse_command_line(int argc, const char* const* argv);
 
 } // namespace almondquay
--- a/source/almondquay/commands.h
+++ b/source/almondquay/commands.h
@@ -5,7 +5,7 @@
 
 #include <iosfwd>
 
-/// The commands of the operators' tool. Each prints its own output and returns how it ended.
+/// The commands of the operators' tool. Each prints its output and returns its result code.
 namespace almondquay {
 
 result_code run_check(const command_line& c);
@@ -26,7 +26,7 @@
 /// Reads a whole file. Errors: text_unreadable.
 result<std::string> read_file(const std::string& path);
 
-/// The login name of the operator, for the record of who changed what.
+/// The login name of the operator, stored with each change; "unknown" if USER is not set.
 std::string operator_name();
 
 } // namespace almondquay
--- a/source/almondquay/drain_commands.cpp
+++ b/source/almondquay/drain_commands.cpp
@@ -8,7 +8,8 @@
 
 namespace {
 
-/// Drains of two operators do not contradict each other, so a lost race is simply run again.
+/// Limit on attempts to write a drain. Drains by different operators do not contradict each other,
+/// so a write that loses to another one is retried on top of it.
 constexpr int max_races = 5;
 
 bool is_known(const fleet& f, drain_kind kind, const std::string& name)
@@ -44,7 +45,7 @@
            c.subject + ": " + c.reason;
 }
 
-/// One try; platform_conflict if another operator was faster.
+/// Makes one attempt. Errors: platform_conflict if another write came first, and others.
 result<generation> try_drain(operator_session& session, const command_line& c)
 {
     const auto read = read_fleet(session);
@@ -53,7 +54,8 @@
     }
     auto next = value_of(read).envelope;
     const bool drains = c.name == command_name::drain;
-    // An undrain may name something that the text no longer has, to tidy up.
+    // An undrain may name a subject that the fleet text no longer contains, so that stale drains
+    // can be removed.
     const auto known = drains ? check_subject(next, c) : result<done>(done{});
     if (!succeeded(known)) {
         return error_of(known);
--- a/source/almondquay/host_commands.cpp
+++ b/source/almondquay/host_commands.cpp
@@ -41,7 +41,7 @@
     std::cout << std::left << std::setw(16) << s.host << std::setw(20) << s.domain << std::setw(10)
               << state_of(s) << "generation " << s.in_force << " since "
               << format_time({s.in_force_since_ms, 0})
-              << (s.platform_reachable ? "" : "  (not watching or platform out of reach)") << '\n';
+              << (s.platform_reachable ? "" : "  (platform not watched or unreachable)") << '\n';
     print_members(s);
     for (const auto& q : s.quarantined) {
         std::cout << "    quarantined " << q.fingerprint << "  " << q.description << '\n';
--- a/source/almondquay/log_commands.cpp
+++ b/source/almondquay/log_commands.cpp
@@ -14,7 +14,7 @@
 
 using json = nlohmann::json;
 
-/// Context lines that people are shown; --json has all.
+/// Maximum number of context lines in the text output; --json prints all of them.
 constexpr std::size_t shown_context_lines = 12;
 
 result<log_source> open_logs(const command_line& c)
@@ -66,7 +66,7 @@
     std::cout << '\n';
 }
 
-/// The lines nearest in time to the request's end, in their order.
+/// The lines closest in time to the end of the request, in their original order.
 std::vector<log_line> nearest(std::vector<log_line> lines, log_time end)
 {
     const auto distance = [&](const log_line& line) {
@@ -120,8 +120,8 @@
     print_decisions("dead host", b.dead_hosts);
     print_decisions("refused request", b.quarantined);
     if (b.clock_went_back) {
-        std::cout << "  The host's clock went back within its log; this is the state at the first "
-                     "line after the time.\n";
+        std::cout << "  The host's clock was set back within its log; this is the state at the "
+                     "first line after the time.\n";
     }
 }
 
@@ -178,7 +178,7 @@
 {
     const auto at = parse_log_time(c.at);
     if (!at) {
-        return complain({result_code::usage_error, "'" + c.at + "' is no time"});
+        return complain({result_code::usage_error, "'" + c.at + "' is not a valid time"});
     }
     const auto logs = open_logs(c);
     if (!succeeded(logs)) {
--- a/source/almondquay/operator_session.cpp
+++ b/source/almondquay/operator_session.cpp
@@ -12,7 +12,7 @@
 
 constexpr std::chrono::milliseconds host_timeout{1'500};
 
-/// Runs the loop until the started calls have ended.
+/// Runs the event loop until all started calls have completed.
 void finish_calls(operator_session& session)
 {
     session.io.restart();
--- a/source/almondquay/operator_session.h
+++ b/source/almondquay/operator_session.h
@@ -13,7 +13,7 @@
 
 #include <boost/asio/io_context.hpp>
 
-/// The tool's view of a deployment: the platform and every entry host it can find.
+/// The tool's connection to a deployment: its platform and all entry hosts it can discover.
 namespace almondquay {
 
 struct operator_session {
@@ -27,7 +27,7 @@
 
 std::unique_ptr<operator_session> open_session(process_settings settings);
 
-/// The envelope with the version it has at the platform.
+/// The fleet envelope with the version of the platform object that holds it.
 struct platform_fleet {
     fleet_envelope envelope;
     object_version version = 0; ///< 0 if there is no object yet
@@ -36,19 +36,21 @@
 /// Reads the fleet object; an empty envelope if there is none. Errors: those of the platform.
 result<platform_fleet> read_fleet(operator_session& session);
 
-/// Writes the envelope over the version that was read. An answer that was lost is looked up, so
-/// that a write that took effect is not reported as failed. Errors: platform_conflict and others.
+/// Replaces the version that was read by `next`. If the response is lost, reads the object back,
+/// so that a write that took effect is not reported as failed. Errors: platform_conflict and
+/// others.
 result<done> write_fleet(operator_session& session, const platform_fleet& read,
                          const fleet_envelope& next);
 
-/// One method's answers by the endpoint of the host that gave them.
+/// Responses to one RPC method, keyed by the host's endpoint.
 using host_answers = std::map<endpoint, result<std::string>>;
 
-/// Asks every host: those of the settings' seeds and those of the text that they have in force.
+/// Calls `method` on every host: the seeds of the settings and the hosts listed in the fleet texts
+/// that the seeds have in force.
 host_answers ask_hosts(operator_session& session, const std::string& method,
                        const std::string& argument = "");
 
-/// The highest generation that any host has in force; 0 if none answered.
+/// The highest generation that any host has in force; 0 if no host responded.
 generation highest_in_force(operator_session& session);
 
 } // namespace almondquay
--- a/source/almondquay/text_commands.cpp
+++ b/source/almondquay/text_commands.cpp
@@ -20,7 +20,7 @@
     return findings.front().code;
 }
 
-/// The text of a file that has no findings; prints them otherwise.
+/// Reads and validates a fleet text; prints its findings if there are any.
 result<std::string> read_good_text(const std::string& path)
 {
     auto text = read_file(path);
@@ -44,9 +44,10 @@
 
 result_code report_race(const platform_fleet& read)
 {
-    std::cerr << "almondquay: 2004 platform_conflict: the text was changed meanwhile:\n  ";
+    std::cerr
+        << "almondquay: 2004 platform_conflict: the fleet text has changed since it was read:\n  ";
     describe(std::cerr, read.envelope);
-    std::cerr << "Run `almondquay show`, take the change over and apply with --read-at "
+    std::cerr << "Run `almondquay show`, merge the change and apply with --read-at "
               << read.envelope.number.value << ".\n";
     return result_code::platform_conflict;
 }
@@ -97,7 +98,7 @@
         return complain(error_of(read));
     }
     const auto& current = value_of(read);
-    // Without --read-at only the very first text can be applied: nobody has read anything yet.
+    // Without --read-at only the first text can be applied: there is no generation to read before.
     if (current.envelope.number.value != c.read_at.value_or(0)) {
         return report_race(current);
     }
@@ -105,7 +106,7 @@
     if (in_force > current.envelope.number) {
         return complain({result_code::platform_behind_fleet,
                          "hosts have generation " + std::to_string(in_force.value) +
-                             "; they write it back by themselves, so try again soon"});
+                             " in force and will write it back to the platform; retry shortly"});
     }
     auto next = current.envelope;
     next.number.value = current.envelope.number.value + 1;
