--- a/source/almondquayd/daemon.cpp
+++ b/source/almondquayd/daemon.cpp
@@ -125,10 +125,10 @@
         running += d.traffic->in_flight(id);
     }
     const bool has_grace = d.state.stage == life_stage::leaving;
-    log::write(log::level::warning, "still_stopping",
-               {{"waiting_for",
-                 has_grace ? "callers' cached lookups of this host to expire" : "running requests"},
-                {"running_requests", std::to_string(running)}});
+    log::write(
+        log::level::warning, "still_stopping",
+        {{"waiting_for", has_grace ? "cached lookups of this host to expire" : "running requests"},
+         {"running_requests", std::to_string(running)}});
 }
 
 void wait_for_signal(daemon_parts& d)
