--- a/unit_tests/fakes/fake_caller.cpp
+++ b/unit_tests/fakes/fake_caller.cpp
@@ -22,8 +22,8 @@
 #include <nlohmann/json.hpp>
 #include <tclap/CmdLine.h>
 
-/// A stand-in for callers: looks up entry hosts, keeps the answer for its time to live, sends
-/// requests at a rate and checks each answer. With --direct it calls one address without look-up.
+/// Fake caller: looks up entry hosts, caches the lookup for its time to live, sends requests at a
+/// given rate and checks each answer. With --direct it calls fixed addresses without a lookup.
 namespace {
 
 namespace asio = boost::asio;
@@ -50,7 +50,7 @@
     unsigned resends = 0;
     bool keys = false;
     bool unchecked = false;
-    bool registry = false; ///< speaks as the callers of the users' platform do
+    bool registry = false; ///< uses the lookups and headers of the users' platform
     std::string refused_file;
 };
 
@@ -167,7 +167,8 @@
     }
 }
 
-/// A host by weight; hosts of weight 0 only if there is no other or `avoid` is all there is.
+/// Picks a host at random by weight. Hosts of weight 0 are picked only if there is no other, and
+/// `avoid` only if it is the single host.
 almondquay::endpoint choose(caller& c, const almondquay::endpoint* avoid)
 {
     std::vector<double> weights;
@@ -188,11 +189,12 @@
         co_return c.opts.direct[c.random() % c.opts.direct.size()];
     }
     if (clock_type::now() >= c.hosts_expire) {
-        c.hosts_expire = clock_type::now() + lookup_timeout; // One look-up at a time.
+        c.hosts_expire = clock_type::now() + lookup_timeout; // Allows one lookup at a time.
         co_await look_up(c);
     }
     while (c.hosts.empty() && clock_type::now() < c.hosts_expire) {
-        asio::steady_timer pause(c.io, first_answer_pause); // Another connection looks up.
+        asio::steady_timer pause(c.io,
+                                 first_answer_pause); // Another connection's lookup is running.
         error_code ignored;
         co_await pause.async_wait(into(ignored));
     }
@@ -208,11 +210,11 @@
     std::string echo;
     std::string outcome;
     std::string result;
-    std::string id; ///< of the request that it answers
+    std::string id; ///< the request id that the answer carries
     bool is_sealed = false;
 };
 
-/// Reads a body of any size without keeping it.
+/// Sends the request and reads the answer; discards the body, which may be of any size.
 asio::awaitable<answer> call(connection& via,
                              const beast::http::request<beast::http::string_body>& request)
 {
@@ -245,7 +247,7 @@
     co_return a;
 }
 
-/// These promise that the request has not run and never will.
+/// Whether the status guarantees that the request has not run and will not run.
 bool is_promise(unsigned status)
 {
     return status == 503 || status == 429 || status == 408 || status == 421;
@@ -293,7 +295,8 @@
     return request;
 }
 
-/// A repeatable request, or one with a key, may be sent again elsewhere.
+/// Whether a request may be sent again to another host: it is repeatable, carries an idempotency
+/// key, was not sent or is known not to have run.
 bool may_resend(const caller& c, const answer& a)
 {
     if (c.opts.registry) {
@@ -332,7 +335,7 @@
             break;
         }
         avoid = &last;
-        if (c.opts.registry && tries < c.opts.resends) { // Each attempt is a request of its own.
+        if (c.opts.registry && tries < c.opts.resends) { // Each attempt has its own id.
             key = random_key(c);
             request = make_request(c, echo, key);
         }
--- a/unit_tests/fakes/fake_platform.cpp
+++ b/unit_tests/fakes/fake_platform.cpp
@@ -14,8 +14,8 @@
 
 #include <tclap/CmdLine.h>
 
-/// A stand-in for the platform's object API: versions, conditional updates, watches, rates and
-/// faults that are switched on with POST /control?fault=NAME&value=N.
+/// Fake of the platform's object API with versions, conditional updates, watches and rate limits.
+/// POST /control?fault=NAME&value=N injects a fault.
 namespace {
 
 namespace asio = boost::asio;
@@ -34,12 +34,12 @@
     std::shared_ptr<asio::steady_timer> timer;
 };
 
-/// Faults in force; each is off at 0.
+/// Injected faults; each is off at 0.
 struct faults {
-    std::uint64_t down = 0;        ///< 503 to everything, without effect
-    std::uint64_t silent = 0;      ///< no answers, without effect
-    std::uint64_t delay_ms = 0;    ///< each call waits this long
-    std::uint64_t lose_writes = 0; ///< this many writes take effect without an answer
+    std::uint64_t down = 0;        ///< all calls get 503 and have no effect
+    std::uint64_t silent = 0;      ///< calls get no answer and have no effect
+    std::uint64_t delay_ms = 0;    ///< time before each call is carried out
+    std::uint64_t lose_writes = 0; ///< number of writes that take effect without an answer
 };
 
 struct token_bucket {
@@ -51,7 +51,7 @@
 struct platform {
     asio::io_context io{1};
     std::map<std::string, stored> objects;
-    std::map<std::string, stored> saved; ///< what "rollback" restores
+    std::map<std::string, stored> saved; ///< as of the latest "save"; restored by "rollback"
     std::list<waiting_watch> watches;
     std::uint64_t next_version = 1;
     faults active;
@@ -164,7 +164,7 @@
     wake_watches(p, key);
     if (p.active.lose_writes > 0) {
         --p.active.lose_writes;
-        return; // The write has taken effect; nobody hears of it.
+        return; // The write has taken effect, but its writer gets no answer.
     }
     respond({http::status_ok, {{"ETag", '"' + std::to_string(version) + '"'}}, {}});
 }
--- a/unit_tests/fakes/fake_registry.cpp
+++ b/unit_tests/fakes/fake_registry.cpp
@@ -12,9 +12,9 @@
 #include <nlohmann/json.hpp>
 #include <tclap/CmdLine.h>
 
-/// A stand-in for the users' store: objects by kind and name, lists, and questions for changes that
-/// wait. POST /control?fault=F&value=V sets a fault: down (all calls get 503), forget (changes so
-/// far are no longer known), deaf (waiting questions are never answered).
+/// Fake of the users' platform's store: objects by kind and name, lists, and long-poll watches for
+/// changes. POST /control?fault=F&value=V injects a fault: down (all calls get 503), forget
+/// (watches from a revision before now get 410), deaf (waiting watches are never answered).
 namespace {
 
 namespace asio = boost::asio;
@@ -41,7 +41,7 @@
 
     asio::io_context* io;
     std::uint64_t revision = 1;
-    std::uint64_t forgotten = 0; ///< changes up to this revision are no longer known
+    std::uint64_t forgotten = 0; ///< watches from an earlier revision get 410
     bool is_down = false;
     bool is_deaf = false;
     std::map<std::string, std::map<std::string, json>> kinds;
@@ -166,7 +166,7 @@
     const auto slash = rest.find('/');
     const auto kind = rest.substr(0, slash);
     const auto name = slash == std::string::npos ? std::string() : rest.substr(slash + 1);
-    if (request.method == "PUT") { // The operator's and the targets' writes, without conditions.
+    if (request.method == "PUT") { // Unconditional writes by operators and targets.
         put(r, kind, name, json::parse(request.body), false);
         answer(respond, http::status_ok, json::object());
     } else if (request.method == "DELETE") {
--- a/unit_tests/fakes/fake_relay.cpp
+++ b/unit_tests/fakes/fake_relay.cpp
@@ -19,10 +19,11 @@
 
 #include <tclap/CmdLine.h>
 
-/// A stand-in for what lies between two ends. POST /control?fault=silence at its second address
-/// makes the connections that are open go silent for good, while new ones work; fault=cut closes
-/// the listener's connections and refuses new ones until fault=heal, fault=reset resets them, and
-/// fault=delay and fault=oneway hold bytes back, or swallow all answers, until fault=heal.
+/// Fake of the network between two endpoints: a TCP relay. POST /control?fault=NAME at its control
+/// address injects a fault: silence (open connections forward nothing any more, new ones work), cut
+/// (closes all connections and, until heal, each new one), reset (resets all connections), delay
+/// (until heal, forwards each read only after `longest_delay`), oneway (until heal, a connection
+/// forwards nothing any more once an answer arrives on it); heal ends cut, delay and oneway.
 namespace {
 
 namespace asio = boost::asio;
@@ -46,7 +47,7 @@
     tcp::endpoint to;
     std::vector<std::weak_ptr<relayed>> open;
     bool cut = false;
-    bool one_way = false; ///< answers are swallowed
+    bool one_way = false; ///< a connection goes silent when an answer arrives on it
     std::chrono::milliseconds delay{0};
 };
 
@@ -110,7 +111,7 @@
     for (const auto& weak : all.open) {
         if (const auto r = weak.lock()) {
             error_code ignored;
-            if (with_reset) { // Closing with a linger time of 0 resets.
+            if (with_reset) { // Closing with a linger time of 0 sends a RST.
                 r->in.set_option(asio::socket_base::linger(true, 0), ignored);
                 r->out.set_option(asio::socket_base::linger(true, 0), ignored);
             }
--- a/unit_tests/fakes/fake_target.cpp
+++ b/unit_tests/fakes/fake_target.cpp
@@ -25,13 +25,12 @@
 
 #include <tclap/CmdLine.h>
 
-/// A stand-in for a target with a few slots. The query asks for work and faults:
-/// ms (time it takes), bytes (size of the answer), fault (cut, never, garbage, twice, drop, exit,
-/// shed),
-/// endless (bytes that are no answer until the other end closes; see `endless_shapes`). With an id
-/// it also answers as the users' platform says: it refuses requests that name another target,
-/// repeats the request's id, and tells its load. It counts its runs for each key, which makes it
-/// the oracle of "at most once".
+/// Fake target with a few slots. Query parameters select work and faults: ms (processing time),
+/// bytes (size of the answer), fault (cut, never, garbage, twice, drop, exit, shed), endless (an
+/// endless answer until the other end closes; see `endless_shapes`). With an id it follows the
+/// protocol of the users' platform: it rejects requests that name another target, and its answers
+/// carry the request's id and its load. It counts executions by idempotency key, so that tests can
+/// check at-most-once execution.
 namespace {
 
 namespace asio = boost::asio;
@@ -41,7 +40,7 @@
 namespace message = almondquay::http;
 
 struct target {
-    std::string id; ///< answers like a target of the users' platform if not empty
+    std::string id; ///< if not empty, follows the protocol of the users' platform
     asio::io_context io{1};
     std::uint32_t slots = 3;
     std::uint32_t in_flight = 0;
@@ -52,7 +51,8 @@
     std::uint32_t connections = 0;
     std::uint32_t most_connections = 0;
     std::map<std::string, std::uint64_t> runs_by_key;
-    std::string runs_file; ///< keeps the keys of work that must not repeat over restarts
+    std::string
+        runs_file; ///< where keys of requests other than GET are recorded, to survive restarts
 };
 
 struct in_flight_guard {
@@ -94,7 +94,7 @@
            std::to_string(t.most_connections) + "\n";
 }
 
-/// One line for each run of each key, to be counted over all targets.
+/// One line per execution of each key, so that tests can count executions across all targets.
 std::string keys(const target& t)
 {
     std::string text;
@@ -134,7 +134,8 @@
     }
 }
 
-/// Works for the asked time; notices when the other end closes meanwhile.
+/// Waits for `time`. Returns false, and counts a cancellation, if the socket becomes readable
+/// first, which is taken to mean that the other end has closed it.
 asio::awaitable<bool> work(target& t, tcp::socket& socket, std::chrono::milliseconds time)
 {
     if (time.count() == 0) {
@@ -156,7 +157,7 @@
     co_return !*gone;
 }
 
-/// How an answer that never ends begins, and what is repeated after it.
+/// An endless answer: how it begins and what is repeated after that.
 struct endless_shape {
     std::string_view name;
     std::string_view begin;
@@ -201,7 +202,8 @@
     }
 }
 
-/// `id_line` repeats the request's id in answers that are read as one.
+/// `id_line` is the header line with the request's id, for answers that must pass as answers to
+/// this request.
 asio::awaitable<void> serve_faulty(target& t, tcp::socket& socket, std::string fault,
                                    std::string id_line, error_code& problem)
 {
@@ -227,7 +229,7 @@
         co_await write_text(socket, head(3, "one") + "one" + head(3, "two") + "two", problem);
         co_return;
     }
-    problem = asio::error::connection_aborted; // The whole of "drop": no answer comes.
+    problem = asio::error::connection_aborted; // "drop" only closes the connection.
 }
 
 asio::awaitable<void> serve_one(target& t, tcp::socket& socket,
