--- a/unit_tests/support/action_queue.h
+++ b/unit_tests/support/action_queue.h
@@ -8,10 +8,10 @@
 #include <utility>
 #include <vector>
 
-/// Virtual time for the small worlds of the fault matrices.
+/// Virtual time for the simulations of the fault matrix tests.
 namespace almondquay {
 
-/// Actions in the order of their times; equal times keep the order in which they were added.
+/// Runs actions in order of their times; actions of equal times run in the order of insertion.
 class action_queue {
 public:
     void add(std::chrono::milliseconds at, std::function<void()> act)
@@ -19,7 +19,7 @@
         actions_.push({at, orders_++, std::move(act)});
     }
 
-    /// Runs everything, also what is added meanwhile; `now` is set before each action.
+    /// Runs all actions, including those added while it runs; sets `now` before each action.
     void run(std::chrono::milliseconds& now)
     {
         while (!actions_.empty()) {
--- a/unit_tests/support/test_main.cpp
+++ b/unit_tests/support/test_main.cpp
@@ -7,7 +7,8 @@
 #include <cppunit/TestRunner.h>
 #include <cppunit/extensions/TestFactoryRegistry.h>
 
-/// Runs every registered test of a package, or the one named, and says how many passed.
+/// Runs all registered tests, or only the one named by the first argument. Exits with 1 if a test
+/// failed or none ran.
 int main(int argc, char** argv)
 {
     CppUnit::TestResult controller;
