--- a/benchmarks/capacity_benchmark.cpp
+++ b/benchmarks/capacity_benchmark.cpp
@@ -12,8 +12,8 @@
 
 #include <malloc.h>
 
-/// Slopes of one host's control state: what a text, a tick, a message and a block table cost at
-/// several sizes. Prints CSV.
+/// Measures how the costs of one host's control state grow with the fleet: adopting a fleet text,
+/// building a snapshot, a tick with its gossip, and a block table. Prints CSV.
 namespace {
 
 using namespace almondquay;
@@ -79,7 +79,7 @@
             wall_time(std::chrono::milliseconds(ms))};
 }
 
-/// All other hosts' beats, as a host would have heard them within a few rounds.
+/// Delivers the heartbeats of all hosts, as a host would receive them within a few gossip rounds.
 void hear_all(control_state& state, std::uint64_t beat, std::int64_t ms)
 {
     gossip_message message;
@@ -91,7 +91,8 @@
     reduce(state, at(ms, gossip_event{std::move(message)}));
 }
 
-/// Mean payload bytes of gossip that one tick sends, and its mean time.
+/// Measures the mean gossip payload that a tick sends, and the mean time of a tick with encoding
+/// its messages and receiving the other hosts' heartbeats.
 void measure_ticks(control_state& state, double& bytes, double& us)
 {
     constexpr int rounds = 40;
--- a/benchmarks/fleet_change_benchmark.cpp
+++ b/benchmarks/fleet_change_benchmark.cpp
@@ -6,8 +6,8 @@
 #include <cstdio>
 #include <string>
 
-/// What hosts that come and go, and each tick, cost one host of a large fleet whose targets are
-/// listed by the store: processor time in ms.
+/// Measures the time, in ms, that one host of a large fleet spends on another host's restart, on a
+/// tick and on applying a snapshot to its slot pool, when the targets are listed by the store.
 namespace {
 
 using namespace almondquay;
--- a/benchmarks/membership_benchmark.cpp
+++ b/benchmarks/membership_benchmark.cpp
@@ -10,8 +10,9 @@
 
 #include <tclap/CmdLine.h>
 
-/// How fast gossip notices a dead host, how often it takes a live one for dead, and what it costs,
-/// by size of the failure domain, number of domains and loss. Virtual time. Prints CSV.
+/// Simulates gossip membership in virtual time and measures the detection time of a dead host, the
+/// number of live hosts declared dead and the bytes sent, by size of the failure domain, number of
+/// domains and datagram loss. Prints CSV.
 namespace {
 
 using namespace almondquay;
@@ -23,7 +24,7 @@
     std::int64_t seconds = 180;
 };
 
-/// Further ones are only counted.
+/// Limit on false deaths that are printed; further ones are only counted.
 constexpr std::size_t max_false_deaths_told = 300;
 
 struct flying {
@@ -37,8 +38,8 @@
 };
 
 struct outcome {
-    std::int64_t near_detected_ms = -1; ///< at the last host of the dead one's domain
-    std::int64_t far_detected_ms = -1;  ///< at the last host of the others
+    std::int64_t near_detected_ms = -1; ///< at the last host in the dead host's domain
+    std::int64_t far_detected_ms = -1;  ///< at the last host in the other domains
     std::size_t false_deaths = 0;
     double bytes_per_host_s = 0;
 };
--- a/benchmarks/picking_benchmark.cpp
+++ b/benchmarks/picking_benchmark.cpp
@@ -9,18 +9,18 @@
 #include <string>
 #include <vector>
 
-/// Ways to pick a target on the same recorded arrivals, in units of the mean service time. A host
-/// knows its own requests; a target refuses what comes over its slots, and the host tries again.
-/// Prints CSV. Virtual time, seeded.
+/// Compares policies for picking a target on the same recorded arrivals, in virtual time in units
+/// of the mean service time. A host knows only its own requests; a target rejects requests beyond
+/// its slots, and the host retries them. Seeded; prints CSV.
 namespace {
 
 using namespace almondquay;
 
 constexpr std::uint32_t slots_per_target = 3;
 constexpr double round_trip = 0.05; ///< between two hosts or a host and a target
-constexpr double retry_pause = 0.1; ///< after a target refused for its slots
+constexpr double retry_pause = 0.1; ///< before the retry of a request that a target rejected
 constexpr double report_interval = 0.5;
-constexpr double patience = 20; ///< a request that waits longer is given up
+constexpr double patience = 20; ///< a request that has waited longer is not retried
 constexpr std::size_t jobs_per_slot = 1'000;
 
 struct job {
@@ -37,7 +37,7 @@
 
 struct outcome {
     std::vector<double> waits;
-    std::size_t over_limit = 0; ///< requests that found their target's slots taken
+    std::size_t over_limit = 0; ///< attempts that found all slots of their target in use
     std::size_t lost = 0;
 };
 
@@ -58,7 +58,8 @@
 
 using free_times = std::priority_queue<double, std::vector<double>, std::greater<>>;
 
-/// A queue with `slots` servers; `away` is the time to whoever keeps it and back.
+/// The time at which `j` starts in a queue with one server per slot; `away` is the round trip to
+/// the host that keeps the queue.
 double start_in_queue(free_times& slots, const job& j, double away)
 {
     const double start = std::max(j.arrival + away / 2, slots.top()) + away / 2;
@@ -77,7 +78,7 @@
     auto slots = make_slots(s.targets * slots_per_target);
     outcome o;
     for (const auto& j : jobs) {
-        // The dispatcher is host 0; its own requests need no trip.
+        // Host 0 keeps the queue; its own requests need no round trip.
         const double away = is_remote && j.host != 0 ? round_trip : 0;
         o.waits.push_back(start_in_queue(slots, j, away) - j.arrival);
     }
@@ -104,9 +105,9 @@
 enum class choice { random, two_random, least_own, reported };
 
 struct uncoordinated {
-    std::vector<std::uint32_t> in_flight;            ///< truly, by target
+    std::vector<std::uint32_t> in_flight;            ///< actual number, by target
     std::vector<std::uint32_t> reported;             ///< as of the latest report
-    std::vector<std::vector<std::uint32_t>> by_host; ///< each host's own
+    std::vector<std::vector<std::uint32_t>> by_host; ///< each host's own requests, by target
     std::mt19937_64 random{2};
 };
 
@@ -122,7 +123,7 @@
         const auto second = u.random() % targets;
         return seen[second] < seen[first] ? second : first;
     }
-    // From a random place on, so that equals are spread.
+    // Starting at a random index spreads ties over the targets.
     std::size_t best = first;
     for (std::size_t i = 1; i < targets; ++i) {
         const auto t = (first + i) % targets;
