--- a/unit_tests/fakes/fake_caller.cpp
+++ b/unit_tests/fakes/fake_caller.cpp
@@ -193,8 +193,7 @@
         co_await look_up(c);
     }
     while (c.hosts.empty() && clock_type::now() < c.hosts_expire) {
-        asio::steady_timer pause(c.io,
-                                 first_answer_pause); // Another connection's lookup is running.
+        asio::steady_timer pause(c.io, first_answer_pause); // Another connection is looking up.
         error_code ignored;
         co_await pause.async_wait(into(ignored));
     }
--- a/unit_tests/fakes/fake_target.cpp
+++ b/unit_tests/fakes/fake_target.cpp
@@ -51,8 +51,7 @@
     std::uint32_t connections = 0;
     std::uint32_t most_connections = 0;
     std::map<std::string, std::uint64_t> runs_by_key;
-    std::string
-        runs_file; ///< where keys of requests other than GET are recorded, to survive restarts
+    std::string runs_file; ///< file for keys of non-GET requests; kept over restarts
 };
 
 struct in_flight_guard {
