--- a/unit_tests/soak/soak.sh
+++ b/unit_tests/soak/soak.sh
@@ -1,12 +1,12 @@
 #!/usr/bin/env bash
-# A randomized soak: real processes on loopback addresses, faults from outside them, and the promises
-# to callers checked from what callers and targets see.
+# Randomized soak test: runs real processes on loopback addresses, injects faults from outside, and
+# checks the guarantees to callers by what callers and targets observe.
 #
 #     unit_tests/soak/soak.sh SEED [SECONDS]
 #
-# The seed draws which faults strike what, when and for how long; they overlap. Four entry hosts in
-# two failure domains, six targets and a store; relays stand before two targets and before the store
-# of two hosts. Only processes started here are signalled, by their ids.
+# The seed determines which faults occur, where, when and for how long; faults overlap. There are four
+# entry hosts in two failure domains, six targets and a store, with relays in front of two targets and
+# between the store and two hosts. Signals go only to processes started here, by their ids.
 seed=${1:?SEED [SECONDS]}
 length=${2:-10}
 here=$(cd "$(dirname "$0")" && pwd)
@@ -14,7 +14,7 @@
 . "$here/../processes/registry_hosts.sh"
 RANDOM=$seed
 registry_seeds="127.0.1.1:7001, 127.0.1.3:7001"
-south_region=north # So that look-ups name all hosts.
+south_region=north # So that lookups name all hosts.
 store_relay=127.0.0.4
 hosts=(1 2 3 4)
 targets=(1 2 3 4 5 6)
@@ -24,9 +24,9 @@
 wait_ms() { sleep "$(printf '%d.%03d' $(($1 / 1000)) $(($1 % 1000)))"; }
 log() { printf '%s %s\n' "$(date +%H:%M:%S.%3N)" "$*" >>"$work/faults.txt"; }
 
-zone_of() { [ "$1" -le "${2}" ] && echo north-a || echo south-a; } # number, last of the first
+zone_of() { [ "$1" -le "${2}" ] && echo north-a || echo south-a; } # number last: the zone of a host or target; numbers up to `last` are in north-a
 
-register() { # target state: its relay's address if it has one
+register() { # target state: registers the target, with its relay's address if it has one
     local at=127.1.1.$1
     case $1 in 1 | 4) at=127.1.9.$1 ;; esac
     store PUT "servers/i-$1" "{\"service\":\"s\",\"address\":\"$at:9000\",\"zone\":\"$(zone_of "$1" 3)\",\"version\":\"v1\",\"slots\":3,\"state\":\"$2\",\"cold_left_s\":0,\"sequence\":1,\"born\":$(date +%s%3N)}"
@@ -37,7 +37,7 @@
         "$1" "$1" "$2"
 }
 
-apply_manifest() { # a new version, whose newest route is named after it
+apply_manifest() { # writes a new version with a route named after the version
     version=$((version + 1 + RANDOM % 3))
     store PUT config/main "{\"version\":\"$(printf '%08x' "$version")\",\"routes\":[$(route view idempotent),$(route stamp non_idempotent),$(route "v$version" idempotent)],\"services\":[{\"name\":\"s\",\"health_path\":\"/healthz\",\"max_conns\":200,\"warmup_s\":1,\"cold_per_s\":4}],\"limits\":{\"max_header_bytes\":16384,\"max_body_bytes\":1000000,\"header_timeout_s\":3,\"idle_timeout_s\":15}}"
 }
@@ -69,7 +69,8 @@
     callers_pids+=($!)
 }
 
-# Hosts and targets are struck one after the other; faults of paths and of the store overlap with them.
+# Faults of hosts and targets come one after the other; those of network paths and of the store overlap
+# with them.
 strike_host() { # number
     local pid
     pid=$(pid_of "entry-$1")
@@ -82,7 +83,7 @@
     1)
         log "stop entry-$1"
         kill -TERM "$pid"
-        wait_until 5 eval "! kill -0 $pid" || fail "entry-$1 did not end within its grace"
+        wait_until 5 eval "! kill -0 $pid" || fail "entry-$1 did not exit within its grace period"
         ;;
     2)
         log "pause entry-$1"
@@ -174,19 +175,19 @@
     expect "entry-$n is ready again" wait_until 15 ready "$n"
     expect "entry-$n has the newest manifest in force" wait_until 15 serves_newest "$n"
 done
-expect "no work that must not repeat ran twice" equal "$(sort "$work/runs.txt" | uniq -d | wc -l)" 0
+expect "no non-repeatable request ran twice" equal "$(sort "$work/runs.txt" | uniq -d | wc -l)" 0
 expect "no refused request had run" equal \
     "$(sort -u "$work/runs.txt" | comm -12 - <(sort -u "$work/refused.txt") | wc -l)" 0
 for kind in views stamps; do
     expect "no $kind got a wrong answer" equal "$(count_of "$work/storm-$kind.txt" wrong)" 0
     expect "some $kind were served" at_most 1 "$(count_of "$work/storm-$kind.txt" served)"
 done
-sleep 5 # Nothing is remembered of the faults after that.
+sleep 5 # After that the faults no longer affect how hosts treat targets and peers.
 callers calm 2
 wait "${callers_pids[@]}"
 for kind in views stamps; do
-    expect "in the calm after it no $kind are lost" equal "$(awk '/^lost/{print $NF}' "$work/calm-$kind.txt")" 0
-    expect "in the calm after it no $kind are refused" equal "$(grep -c refused "$work/calm-$kind.txt")" 0
+    expect "after the faults have ended no $kind are lost" equal "$(awk '/^lost/{print $NF}' "$work/calm-$kind.txt")" 0
+    expect "after the faults have ended no $kind are refused" equal "$(grep -c refused "$work/calm-$kind.txt")" 0
 done
 if [ "$failures" -gt 0 ] && [ -n "${SOAK_KEEP:-}" ]; then
     mkdir -p "$SOAK_KEEP" && cp -r "$work" "$SOAK_KEEP/seed-$seed"
