--- a/tools/deployment.sh
+++ b/tools/deployment.sh
@@ -1,8 +1,9 @@
-# Functions that start a small deployment on loopback addresses and end it again.
+# Functions that start a small deployment on loopback addresses and stop it.
 # Sourced by tools/demo, tools/measure and the process tests; needs $build and $work.
 #
-# Places: regions mersin and gaziantep with failure domains a and b each, two entry hosts and
-# two targets a domain. Host N of domain D listens on 127.0.D.N, its targets on 127.1.D.N.
+# Topology: regions mersin and gaziantep with failure domains a and b each; in each domain two entry
+# hosts, two targets of the service ledger and one of archive. Host N of domain D listens on
+# 127.0.D.N, target N on 127.1.D.N.
 
 platform=127.0.0.2:7100
 pids=()
@@ -14,7 +15,7 @@
     shift
     "$@" >"$work/$name.out" 2>"$work/$name.log" &
     pids+=($!)
-    disown $! # The shell need not tell of processes that a test ends by force.
+    disown $! # Keeps the shell from reporting processes that a test kills.
     eval "pid_${name//-/_}=$!"
 }
 
@@ -29,7 +30,7 @@
 
 domains=(mersin-a mersin-b gaziantep-a gaziantep-b)
 
-write_fleet() { # file: the operators' text of the deployment
+write_fleet() { # file: writes the fleet text of the deployment
     local d n
     {
         printf '[fleet]\nname = kaju\nlookup_ttl_ms = 1000\n'
@@ -54,7 +55,7 @@
     } >"$1"
 }
 
-write_settings() { # file domain-number host-number, or only a file for the command line
+write_settings() { # file domain-number host-number, or only a file for the operators' tool
     {
         if [ $# -eq 3 ]; then
             printf '[host]\nid = %s-%s\nfailure_domain = %s\naddress = 127.0.%s.%s\n' \
@@ -63,7 +64,7 @@
         printf '[platform]\naddress = %s\ntimeout_ms = 1000\n' "$platform"
         printf '[peers]\nshared_secret = a secret for the demo\n'
         printf 'seeds = 127.0.1.1:7001, 127.0.2.1:7001, 127.0.3.1:7001, 127.0.4.1:7001\n'
-        [ $# -ne 3 ] || printf '%s' "${host_settings:-}" # More sections, from the test.
+        [ $# -ne 3 ] || printf '%s' "${host_settings:-}" # Further sections, set by the test.
     } >"$1"
 }
 
@@ -98,11 +99,11 @@
     done
 }
 
-in_force_everywhere() { # generation hosts: whether so many hosts have it in force
+in_force_everywhere() { # generation hosts: whether that many hosts have it in force
     [ "$(tool status --json | grep -o "\"in_force\":$1," | wc -l)" -eq "$2" ]
 }
 
-caller() { # arguments of the fake caller, with the deployment's hosts as seeds
+caller() { # arguments...: runs the fake caller with the deployment's hosts as seeds
     "$build/unit_tests/fakes/fake_caller" \
         --seeds 127.0.1.1:7000,127.0.2.2:7000,127.0.3.1:7000,127.0.4.2:7000 "$@"
 }
--- a/tools/packages.sh
+++ b/tools/packages.sh
@@ -1,4 +1,4 @@
-# The Debian packages that the project builds, tests and checks with; one list for all tools.
+# The Debian packages needed to build, test and check the project; one list for all tools.
 packages="g++ cmake ninja-build clang-format clang-tidy
 libboost1.81-dev libboost-log1.81-dev libboost-thread1.81-dev libboost-system1.81-dev
 libboost-filesystem1.81-dev libboost-atomic1.81-dev libboost-chrono1.81-dev
