--- a/source/claims/claim_lane.cpp
+++ b/source/claims/claim_lane.cpp
@@ -14,14 +14,14 @@
     out.verdicts.push_back({want.reply_to, want.claim.id, want.claim.key, claim_refused{code}});
 }
 
-void start_read(claim_lane& lane, lane_output& out)
+void start_read(claim_log_writer& lane, lane_output& out)
 {
     lane.stage = lane_stage::reading;
     lane.call = (*out.next_call)++;
     out.store.emplace_back(read_claims_effect{lane.call, current_segment_key(lane)});
 }
 
-void pause(claim_lane& lane, monotonic_time now)
+void pause(claim_log_writer& lane, monotonic_time now)
 {
     const auto doubled = shortest_lane_pause * (1U << std::min(lane.failures, max_doublings));
     ++lane.failures;
@@ -29,7 +29,7 @@
     lane.retry_at = now + std::min(doubled, longest_lane_pause);
 }
 
-void mark_views_settled(claim_lane& lane)
+void mark_views_settled(claim_log_writer& lane)
 {
     for (auto& want : lane.wants) {
         want.is_settled_view = true;
@@ -62,7 +62,7 @@
 
 /// An outcome that the claim's host has reported but that is not durable yet. `ran` and `unknown`
 /// can be used before they are durable; `not_run` must be durable before it frees the key.
-const outcome_record* find_told_outcome(const claim_lane& lane, const claim_id& id)
+const outcome_record* find_told_outcome(const claim_log_writer& lane, const claim_id& id)
 {
     const auto found =
         std::ranges::find(lane.outcomes, id, [](const pending_outcome& p) { return p.outcome.id; });
@@ -70,7 +70,7 @@
     return is_told ? &found->outcome : nullptr;
 }
 
-settlement settle_against(const claim_lane& lane, const claim_entry& entry,
+settlement settle_against(const claim_log_writer& lane, const claim_entry& entry,
                           const pending_want& want, const live_lives& alive)
 {
     if (entry.id == want.claim.id && !entry.end) {
@@ -93,7 +93,7 @@
     return {next_step::answer, claim_refused{code}};
 }
 
-settlement settle(const claim_lane& lane, const pending_want& want, const live_lives& alive)
+settlement settle(const claim_log_writer& lane, const pending_want& want, const live_lives& alive)
 {
     if (lane.log.expired) {
         return {next_step::answer, claim_refused{result_code::key_too_old}};
@@ -110,7 +110,7 @@
 
 /// Answers the claims that need no write. Returns whether a remaining claim needs the log to be
 /// read again.
-bool answer_settled(claim_lane& lane, const live_lives& alive, lane_output& out)
+bool answer_settled(claim_log_writer& lane, const live_lives& alive, lane_output& out)
 {
     bool look_again = false;
     for (auto want = lane.wants.begin(); want != lane.wants.end();) {
@@ -127,7 +127,7 @@
 }
 
 /// Acknowledges outcomes that are already in the log or can no longer affect it.
-void answer_kept_outcomes(claim_lane& lane, lane_output& out)
+void answer_kept_outcomes(claim_log_writer& lane, lane_output& out)
 {
     const auto is_kept = [&](const pending_outcome& p) {
         const auto entry = lane.log.entries.find(p.outcome.key);
@@ -146,7 +146,7 @@
 }
 
 /// Acknowledges the outcomes of the batch that has just become durable.
-void answer_written_outcomes(claim_lane& lane, lane_output& out)
+void answer_written_outcomes(claim_log_writer& lane, lane_output& out)
 {
     for (const auto& record : lane.batch) {
         const auto* written = std::get_if<outcome_record>(&record);
@@ -162,7 +162,7 @@
     }
 }
 
-std::vector<log_record> make_batch(const claim_lane& lane)
+std::vector<log_record> make_batch(const claim_log_writer& lane)
 {
     std::vector<log_record> batch;
     std::set<claim_key> keys;
@@ -190,7 +190,7 @@
     return batch;
 }
 
-void start_write(claim_lane& lane, std::vector<log_record> batch, lane_output& out)
+void start_write(claim_log_writer& lane, std::vector<log_record> batch, lane_output& out)
 {
     auto body = encode(with_batch(lane.log, lane.id.slice, batch));
     lane.stage = lane_stage::writing;
@@ -202,7 +202,7 @@
                                                lane.log.last.version, std::move(body)});
 }
 
-void refuse_all_as_full(claim_lane& lane, lane_output& out)
+void refuse_all_as_full(claim_log_writer& lane, lane_output& out)
 {
     for (const auto& want : lane.wants) {
         refuse(out, want, result_code::claim_store_full);
@@ -212,12 +212,12 @@
 
 } // namespace
 
-std::string current_segment_key(const claim_lane& lane)
+std::string current_segment_key(const claim_log_writer& lane)
 {
     return segment_key(lane.id.bucket, lane.id.slice, lane.log.last.index);
 }
 
-void add_want(claim_lane& lane, pending_want want, lane_output& out)
+void add_want(claim_log_writer& lane, pending_want want, lane_output& out)
 {
     const bool is_known = std::ranges::any_of(
         lane.wants, [&](const pending_want& other) { return other.claim.id == want.claim.id; });
@@ -231,7 +231,7 @@
     lane.wants.push_back(std::move(want));
 }
 
-void add_outcome(claim_lane& lane, pending_outcome outcome)
+void add_outcome(claim_log_writer& lane, pending_outcome outcome)
 {
     const bool is_known = std::ranges::any_of(lane.outcomes, [&](const pending_outcome& other) {
         return other.outcome.id == outcome.outcome.id;
@@ -241,7 +241,7 @@
     }
 }
 
-void advance(claim_lane& lane, const live_lives& alive, monotonic_time now, lane_output& out)
+void advance(claim_log_writer& lane, const live_lives& alive, monotonic_time now, lane_output& out)
 {
     const bool has_work = !lane.wants.empty() || !lane.outcomes.empty();
     if (lane.stage == lane_stage::pausing && has_work && now >= lane.retry_at) {
@@ -264,7 +264,7 @@
     }
 }
 
-void take_lane_read(claim_lane& lane, const result<stored_object>& object, monotonic_time now,
+void take_lane_read(claim_log_writer& lane, const result<stored_object>& object, monotonic_time now,
                     lane_output& out)
 {
     if (lane.stage != lane_stage::reading) {
@@ -286,8 +286,8 @@
     mark_views_settled(lane);
 }
 
-void take_lane_write(claim_lane& lane, const result<object_version>& version, monotonic_time now,
-                     lane_output& out)
+void take_lane_write(claim_log_writer& lane, const result<object_version>& version,
+                     monotonic_time now, lane_output& out)
 {
     if (lane.stage != lane_stage::writing) {
         return;
@@ -314,7 +314,7 @@
     }
 }
 
-void tick_lane(claim_lane& lane, monotonic_time now, lane_output& out)
+void tick_lane(claim_log_writer& lane, monotonic_time now, lane_output& out)
 {
     lane.outcomes_due = !lane.outcomes.empty();
     for (auto want = lane.wants.begin(); want != lane.wants.end();) {
--- a/source/claims/claim_lane.h
+++ b/source/claims/claim_lane.h
@@ -43,7 +43,7 @@
     pausing, ///< backing off after a platform failure; the log is read again afterwards
 };
 
-struct claim_lane {
+struct claim_log_writer {
     lane_id id;
     claim_log log;
     lane_stage stage = lane_stage::pausing;
@@ -85,22 +85,22 @@
     std::vector<lane_outcome_kept> kept;
 };
 
-void add_want(claim_lane& lane, pending_want want, lane_output& out);
-void add_outcome(claim_lane& lane, pending_outcome outcome);
+void add_want(claim_log_writer& lane, pending_want want, lane_output& out);
+void add_outcome(claim_log_writer& lane, pending_outcome outcome);
 
 /// Answers what the local copy of the log allows and starts the next read or write if none is in
 /// flight. `alive` are the hosts whose claims may still be running.
-void advance(claim_lane& lane, const live_lives& alive, monotonic_time now, lane_output& out);
+void advance(claim_log_writer& lane, const live_lives& alive, monotonic_time now, lane_output& out);
 
-void take_lane_read(claim_lane& lane, const result<stored_object>& object, monotonic_time now,
+void take_lane_read(claim_log_writer& lane, const result<stored_object>& object, monotonic_time now,
                     lane_output& out);
-void take_lane_write(claim_lane& lane, const result<object_version>& version, monotonic_time now,
-                     lane_output& out);
+void take_lane_write(claim_log_writer& lane, const result<object_version>& version,
+                     monotonic_time now, lane_output& out);
 
 /// Refuses claims past their deadline and makes pending outcomes due for writing.
-void tick_lane(claim_lane& lane, monotonic_time now, lane_output& out);
+void tick_lane(claim_log_writer& lane, monotonic_time now, lane_output& out);
 
 /// The key of the segment object that is currently read or appended to.
-std::string current_segment_key(const claim_lane& lane);
+std::string current_segment_key(const claim_log_writer& lane);
 
 } // namespace almondquay
--- a/source/claims/claim_reducer.cpp
+++ b/source/claims/claim_reducer.cpp
@@ -24,9 +24,9 @@
     s.out.emplace_back(claim_message_effect{to, {s.world.self, std::move(body)}});
 }
 
-void run_lane(step& s, claim_lane& lane, lane_output output);
+void run_lane(step& s, claim_log_writer& lane, lane_output output);
 
-claim_lane& lane_of(step& s, const claim_key& key)
+claim_log_writer& lane_of(step& s, const claim_key& key)
 {
     const lane_id id{bucket_of(key), slice_of(key)};
     auto& lane = s.state.lanes[id];
@@ -155,7 +155,7 @@
 }
 
 /// Advances a log writer and dispatches its output. Verdicts for this host are applied at once.
-void run_lane(step& s, claim_lane& lane, lane_output output)
+void run_lane(step& s, claim_log_writer& lane, lane_output output)
 {
     output.next_call = &s.state.next_call;
     advance(lane, s.world.alive, s.now, output);
@@ -249,7 +249,7 @@
     save_outcome(s, outcome);
 }
 
-claim_lane* find_lane(claim_state& state, store_call call)
+claim_log_writer* find_lane(claim_state& state, store_call call)
 {
     const auto found = std::ranges::find_if(
         state.lanes, [&](const auto& entry) { return entry.second.call == call; });
