--- a/source/claims/claim_lane.h
+++ b/source/claims/claim_lane.h
@@ -15,11 +15,11 @@
 /// The current incarnation of each live host.
 using live_lives = std::map<host_id, incarnation>;
 
-struct lane_id {
+struct claim_log_id {
     bucket_number bucket;
     slice_number slice;
 
-    auto operator<=>(const lane_id&) const = default;
+    auto operator<=>(const claim_log_id&) const = default;
 };
 
 /// A claim that is waiting to become durable.
@@ -44,7 +44,7 @@
 };
 
 struct claim_log_writer {
-    lane_id id;
+    claim_log_id id;
     claim_log log;
     lane_stage stage = lane_stage::pausing;
     std::deque<pending_want> wants;
--- a/source/claims/claim_reducer.cpp
+++ b/source/claims/claim_reducer.cpp
@@ -28,7 +28,7 @@
 
 claim_log_writer& lane_of(step& s, const claim_key& key)
 {
-    const lane_id id{bucket_of(key), slice_of(key)};
+    const claim_log_id id{bucket_of(key), slice_of(key)};
     auto& lane = s.state.lanes[id];
     lane.id = id;
     lane.last_used = s.now;
