--- a/source/claims/claim_lane.cpp
+++ b/source/claims/claim_lane.cpp
@@ -16,7 +16,7 @@
 
 void start_read(claim_log_writer& lane, lane_output& out)
 {
-    lane.stage = lane_stage::reading;
+    lane.stage = writer_stage::reading;
     lane.call = (*out.next_call)++;
     out.store.emplace_back(read_claims_effect{lane.call, current_segment_key(lane)});
 }
@@ -25,7 +25,7 @@
 {
     const auto doubled = shortest_lane_pause * (1U << std::min(lane.failures, max_doublings));
     ++lane.failures;
-    lane.stage = lane_stage::pausing;
+    lane.stage = writer_stage::pausing;
     lane.retry_at = now + std::min(doubled, longest_lane_pause);
 }
 
@@ -193,7 +193,7 @@
 void start_write(claim_log_writer& lane, std::vector<log_record> batch, lane_output& out)
 {
     auto body = encode(with_batch(lane.log, lane.id.slice, batch));
-    lane.stage = lane_stage::writing;
+    lane.stage = writer_stage::writing;
     lane.batch = std::move(batch);
     lane.batch_bytes = body.size();
     lane.outcomes_due = false;
@@ -244,10 +244,10 @@
 void advance(claim_log_writer& lane, const live_lives& alive, monotonic_time now, lane_output& out)
 {
     const bool has_work = !lane.wants.empty() || !lane.outcomes.empty();
-    if (lane.stage == lane_stage::pausing && has_work && now >= lane.retry_at) {
+    if (lane.stage == writer_stage::pausing && has_work && now >= lane.retry_at) {
         start_read(lane, out);
     }
-    if (lane.stage != lane_stage::ready) {
+    if (lane.stage != writer_stage::ready) {
         return;
     }
     const bool look_again = answer_settled(lane, alive, out);
@@ -267,7 +267,7 @@
 void take_lane_read(claim_log_writer& lane, const result<stored_object>& object, monotonic_time now,
                     lane_output& out)
 {
-    if (lane.stage != lane_stage::reading) {
+    if (lane.stage != writer_stage::reading) {
         return;
     }
     const auto code = code_of(object);
@@ -282,14 +282,14 @@
         start_read(lane, out);
         return;
     }
-    lane.stage = lane_stage::ready;
+    lane.stage = writer_stage::ready;
     mark_views_settled(lane);
 }
 
 void take_lane_write(claim_log_writer& lane, const result<object_version>& version,
                      monotonic_time now, lane_output& out)
 {
-    if (lane.stage != lane_stage::writing) {
+    if (lane.stage != writer_stage::writing) {
         return;
     }
     if (!succeeded(version)) {
@@ -306,7 +306,7 @@
     const bool is_full = take_written(lane.log, lane.batch, lane.batch_bytes, value_of(version));
     answer_written_outcomes(lane, out);
     lane.batch.clear();
-    lane.stage = lane_stage::ready;
+    lane.stage = writer_stage::ready;
     mark_views_settled(lane);
     if (is_full) {
         start_next_segment(lane.log);
--- a/source/claims/claim_lane.h
+++ b/source/claims/claim_lane.h
@@ -36,7 +36,7 @@
     host_id reply_to;
 };
 
-enum class lane_stage {
+enum class writer_stage {
     reading, ///< a read is in flight
     ready,   ///< the whole log has been read; the local copy may be outdated
     writing, ///< a write is in flight
@@ -46,7 +46,7 @@
 struct claim_log_writer {
     claim_log_id id;
     claim_log log;
-    lane_stage stage = lane_stage::pausing;
+    writer_stage stage = writer_stage::pausing;
     std::deque<pending_want> wants;
     std::deque<pending_outcome> outcomes;
     std::vector<log_record> batch; ///< the records of the write in flight
--- a/source/claims/claim_reducer.cpp
+++ b/source/claims/claim_reducer.cpp
@@ -339,7 +339,8 @@
 {
     std::erase_if(s.state.lanes, [&](const auto& entry) {
         const auto& lane = entry.second;
-        const bool is_busy = lane.stage == lane_stage::reading || lane.stage == lane_stage::writing;
+        const bool is_busy =
+            lane.stage == writer_stage::reading || lane.stage == writer_stage::writing;
         return !is_busy && lane.wants.empty() && lane.outcomes.empty() &&
                s.now - lane.last_used > lane_idle_limit;
     });
