--- a/source/claims/claim_lane.cpp
+++ b/source/claims/claim_lane.cpp
@@ -9,12 +9,12 @@
 
 constexpr unsigned max_doublings = 6;
 
-void refuse(lane_output& out, const pending_want& want, result_code code)
+void refuse(writer_output& out, const pending_want& want, result_code code)
 {
     out.verdicts.push_back({want.reply_to, want.claim.id, want.claim.key, claim_refused{code}});
 }
 
-void start_read(claim_log_writer& lane, lane_output& out)
+void start_read(claim_log_writer& lane, writer_output& out)
 {
     lane.stage = writer_stage::reading;
     lane.call = (*out.next_call)++;
@@ -110,7 +110,7 @@
 
 /// Answers the claims that need no write. Returns whether a remaining claim needs the log to be
 /// read again.
-bool answer_settled(claim_log_writer& lane, const live_lives& alive, lane_output& out)
+bool answer_settled(claim_log_writer& lane, const live_lives& alive, writer_output& out)
 {
     bool look_again = false;
     for (auto want = lane.wants.begin(); want != lane.wants.end();) {
@@ -127,7 +127,7 @@
 }
 
 /// Acknowledges outcomes that are already in the log or can no longer affect it.
-void answer_kept_outcomes(claim_log_writer& lane, lane_output& out)
+void answer_kept_outcomes(claim_log_writer& lane, writer_output& out)
 {
     const auto is_kept = [&](const pending_outcome& p) {
         const auto entry = lane.log.entries.find(p.outcome.key);
@@ -146,7 +146,7 @@
 }
 
 /// Acknowledges the outcomes of the batch that has just become durable.
-void answer_written_outcomes(claim_log_writer& lane, lane_output& out)
+void answer_written_outcomes(claim_log_writer& lane, writer_output& out)
 {
     for (const auto& record : lane.batch) {
         const auto* written = std::get_if<outcome_record>(&record);
@@ -190,7 +190,7 @@
     return batch;
 }
 
-void start_write(claim_log_writer& lane, std::vector<log_record> batch, lane_output& out)
+void start_write(claim_log_writer& lane, std::vector<log_record> batch, writer_output& out)
 {
     auto body = encode(with_batch(lane.log, lane.id.slice, batch));
     lane.stage = writer_stage::writing;
@@ -202,7 +202,7 @@
                                                lane.log.last.version, std::move(body)});
 }
 
-void refuse_all_as_full(claim_log_writer& lane, lane_output& out)
+void refuse_all_as_full(claim_log_writer& lane, writer_output& out)
 {
     for (const auto& want : lane.wants) {
         refuse(out, want, result_code::claim_store_full);
@@ -217,7 +217,7 @@
     return segment_key(lane.id.bucket, lane.id.slice, lane.log.last.index);
 }
 
-void add_want(claim_log_writer& lane, pending_want want, lane_output& out)
+void add_want(claim_log_writer& lane, pending_want want, writer_output& out)
 {
     const bool is_known = std::ranges::any_of(
         lane.wants, [&](const pending_want& other) { return other.claim.id == want.claim.id; });
@@ -241,7 +241,8 @@
     }
 }
 
-void advance(claim_log_writer& lane, const live_lives& alive, monotonic_time now, lane_output& out)
+void advance(claim_log_writer& lane, const live_lives& alive, monotonic_time now,
+             writer_output& out)
 {
     const bool has_work = !lane.wants.empty() || !lane.outcomes.empty();
     if (lane.stage == writer_stage::pausing && has_work && now >= lane.retry_at) {
@@ -265,7 +266,7 @@
 }
 
 void take_lane_read(claim_log_writer& lane, const result<stored_object>& object, monotonic_time now,
-                    lane_output& out)
+                    writer_output& out)
 {
     if (lane.stage != writer_stage::reading) {
         return;
@@ -287,7 +288,7 @@
 }
 
 void take_lane_write(claim_log_writer& lane, const result<object_version>& version,
-                     monotonic_time now, lane_output& out)
+                     monotonic_time now, writer_output& out)
 {
     if (lane.stage != writer_stage::writing) {
         return;
@@ -314,7 +315,7 @@
     }
 }
 
-void tick_lane(claim_log_writer& lane, monotonic_time now, lane_output& out)
+void tick_lane(claim_log_writer& lane, monotonic_time now, writer_output& out)
 {
     lane.outcomes_due = !lane.outcomes.empty();
     for (auto want = lane.wants.begin(); want != lane.wants.end();) {
--- a/source/claims/claim_lane.h
+++ b/source/claims/claim_lane.h
@@ -78,27 +78,28 @@
 };
 
 /// What one step of a log writer produces.
-struct lane_output {
+struct writer_output {
     store_call* next_call = nullptr; ///< the host's counter of platform calls
     claim_effects store;             ///< reads and writes only
     std::vector<lane_verdict> verdicts;
     std::vector<lane_outcome_kept> kept;
 };
 
-void add_want(claim_log_writer& lane, pending_want want, lane_output& out);
+void add_want(claim_log_writer& lane, pending_want want, writer_output& out);
 void add_outcome(claim_log_writer& lane, pending_outcome outcome);
 
 /// Answers what the local copy of the log allows and starts the next read or write if none is in
 /// flight. `alive` are the hosts whose claims may still be running.
-void advance(claim_log_writer& lane, const live_lives& alive, monotonic_time now, lane_output& out);
+void advance(claim_log_writer& lane, const live_lives& alive, monotonic_time now,
+             writer_output& out);
 
 void take_lane_read(claim_log_writer& lane, const result<stored_object>& object, monotonic_time now,
-                    lane_output& out);
+                    writer_output& out);
 void take_lane_write(claim_log_writer& lane, const result<object_version>& version,
-                     monotonic_time now, lane_output& out);
+                     monotonic_time now, writer_output& out);
 
 /// Refuses claims past their deadline and makes pending outcomes due for writing.
-void tick_lane(claim_log_writer& lane, monotonic_time now, lane_output& out);
+void tick_lane(claim_log_writer& lane, monotonic_time now, writer_output& out);
 
 /// The key of the segment object that is currently read or appended to.
 std::string current_segment_key(const claim_log_writer& lane);
--- a/source/claims/claim_reducer.cpp
+++ b/source/claims/claim_reducer.cpp
@@ -24,7 +24,7 @@
     s.out.emplace_back(claim_message_effect{to, {s.world.self, std::move(body)}});
 }
 
-void run_lane(step& s, claim_log_writer& lane, lane_output output);
+void run_lane(step& s, claim_log_writer& lane, writer_output output);
 
 claim_log_writer& lane_of(step& s, const claim_key& key)
 {
@@ -39,7 +39,7 @@
                  monotonic_time deadline)
 {
     auto& lane = lane_of(s, claim.key);
-    lane_output output;
+    writer_output output;
     add_want(lane, {claim, reply_to, deadline, false}, output);
     run_lane(s, lane, std::move(output));
 }
@@ -155,7 +155,7 @@
 }
 
 /// Advances a log writer and dispatches its output. Verdicts for this host are applied at once.
-void run_lane(step& s, claim_log_writer& lane, lane_output output)
+void run_lane(step& s, claim_log_writer& lane, writer_output output)
 {
     output.next_call = &s.state.next_call;
     advance(lane, s.world.alive, s.now, output);
@@ -256,9 +256,9 @@
     return found == state.lanes.end() ? nullptr : &found->second;
 }
 
-lane_output empty_output(step& s)
+writer_output empty_output(step& s)
 {
-    lane_output output;
+    writer_output output;
     output.next_call = &s.state.next_call;
     return output;
 }
@@ -345,7 +345,7 @@
                s.now - lane.last_used > lane_idle_limit;
     });
     for (auto& [id, lane] : s.state.lanes) {
-        lane_output output;
+        writer_output output;
         tick_lane(lane, s.now, output);
         run_lane(s, lane, std::move(output));
     }
