--- a/source/claims/claim_lane.h
+++ b/source/claims/claim_lane.h
@@ -65,7 +65,7 @@
 constexpr std::chrono::milliseconds shortest_lane_pause{50};
 constexpr std::chrono::milliseconds longest_lane_pause{2'000};
 
-struct lane_verdict {
+struct writer_verdict {
     host_id to;
     claim_id id;
     claim_key key{};
@@ -81,7 +81,7 @@
 struct writer_output {
     store_call* next_call = nullptr; ///< the host's counter of platform calls
     claim_effects store;             ///< reads and writes only
-    std::vector<lane_verdict> verdicts;
+    std::vector<writer_verdict> verdicts;
     std::vector<lane_outcome_kept> kept;
 };
 
