--- a/source/claims/claim_lane.h
+++ b/source/claims/claim_lane.h
@@ -72,7 +72,7 @@
     claim_verdict verdict;
 };
 
-struct lane_outcome_kept {
+struct outcome_ack {
     host_id to;
     claim_id id;
 };
@@ -82,7 +82,7 @@
     store_call* next_call = nullptr; ///< the host's counter of platform calls
     claim_effects store;             ///< reads and writes only
     std::vector<writer_verdict> verdicts;
-    std::vector<lane_outcome_kept> kept;
+    std::vector<outcome_ack> kept;
 };
 
 void add_want(claim_log_writer& lane, pending_want want, writer_output& out);
