--- a/source/claims/claim_reducer.cpp
+++ b/source/claims/claim_reducer.cpp
@@ -29,7 +29,7 @@
 claim_log_writer& lane_of(step& s, const claim_key& key)
 {
     const claim_log_id id{bucket_of(key), slice_of(key)};
-    auto& lane = s.state.lanes[id];
+    auto& lane = s.state.writers[id];
     lane.id = id;
     lane.last_used = s.now;
     return lane;
@@ -252,8 +252,8 @@
 claim_log_writer* find_lane(claim_state& state, store_call call)
 {
     const auto found = std::ranges::find_if(
-        state.lanes, [&](const auto& entry) { return entry.second.call == call; });
-    return found == state.lanes.end() ? nullptr : &found->second;
+        state.writers, [&](const auto& entry) { return entry.second.call == call; });
+    return found == state.writers.end() ? nullptr : &found->second;
 }
 
 writer_output empty_output(step& s)
@@ -337,14 +337,14 @@
 
 void tick_lanes(step& s)
 {
-    std::erase_if(s.state.lanes, [&](const auto& entry) {
+    std::erase_if(s.state.writers, [&](const auto& entry) {
         const auto& lane = entry.second;
         const bool is_busy =
             lane.stage == writer_stage::reading || lane.stage == writer_stage::writing;
         return !is_busy && lane.wants.empty() && lane.outcomes.empty() &&
                s.now - lane.last_used > lane_idle_limit;
     });
-    for (auto& [id, lane] : s.state.lanes) {
+    for (auto& [id, lane] : s.state.writers) {
         writer_output output;
         tick_lane(lane, s.now, output);
         run_lane(s, lane, std::move(output));
--- a/source/claims/claim_reducer.h
+++ b/source/claims/claim_reducer.h
@@ -48,7 +48,7 @@
 struct claim_state {
     claim_number next_number = 1;
     store_call next_call = 1;
-    std::map<claim_log_id, claim_log_writer> lanes;
+    std::map<claim_log_id, claim_log_writer> writers;
     std::map<claim_number, waiting_claim> waiting;
     std::map<claim_number, claim_record> running;
     std::map<claim_key, own_claim> own;
--- a/unit_tests/claims/claim_world.cpp
+++ b/unit_tests/claims/claim_world.cpp
@@ -385,7 +385,7 @@
         boost::hash_combine(seed, h.state.running.size());
         boost::hash_combine(seed, h.state.unsaved.size());
         boost::hash_combine(seed, h.state.own.size());
-        for (const auto& [id, lane] : h.state.lanes) {
+        for (const auto& [id, lane] : h.state.writers) {
             boost::hash_combine(seed, static_cast<int>(lane.stage));
             boost::hash_combine(seed, lane.wants.size());
             boost::hash_combine(seed, lane.outcomes.size());
