--- a/source/claims/claim_lane.cpp
+++ b/source/claims/claim_lane.cpp
@@ -14,24 +14,24 @@
     out.verdicts.push_back({want.reply_to, want.claim.id, want.claim.key, claim_refused{code}});
 }
 
-void start_read(claim_log_writer& lane, writer_output& out)
+void start_read(claim_log_writer& writer, writer_output& out)
 {
-    lane.stage = writer_stage::reading;
-    lane.call = (*out.next_call)++;
-    out.store.emplace_back(read_claims_effect{lane.call, current_segment_key(lane)});
+    writer.stage = writer_stage::reading;
+    writer.call = (*out.next_call)++;
+    out.store.emplace_back(read_claims_effect{writer.call, current_segment_key(writer)});
 }
 
-void pause(claim_log_writer& lane, monotonic_time now)
+void pause(claim_log_writer& writer, monotonic_time now)
 {
-    const auto doubled = shortest_lane_pause * (1U << std::min(lane.failures, max_doublings));
-    ++lane.failures;
-    lane.stage = writer_stage::pausing;
-    lane.retry_at = now + std::min(doubled, longest_lane_pause);
+    const auto doubled = shortest_lane_pause * (1U << std::min(writer.failures, max_doublings));
+    ++writer.failures;
+    writer.stage = writer_stage::pausing;
+    writer.retry_at = now + std::min(doubled, longest_lane_pause);
 }
 
-void mark_views_settled(claim_log_writer& lane)
+void mark_views_settled(claim_log_writer& writer)
 {
-    for (auto& want : lane.wants) {
+    for (auto& want : writer.wants) {
         want.is_settled_view = true;
     }
 }
@@ -62,15 +62,15 @@
 
 /// An outcome that the claim's host has reported but that is not durable yet. `ran` and `unknown`
 /// can be used before they are durable; `not_run` must be durable before it frees the key.
-const outcome_record* find_told_outcome(const claim_log_writer& lane, const claim_id& id)
+const outcome_record* find_told_outcome(const claim_log_writer& writer, const claim_id& id)
 {
-    const auto found =
-        std::ranges::find(lane.outcomes, id, [](const pending_outcome& p) { return p.outcome.id; });
-    const bool is_told = found != lane.outcomes.end() && found->outcome.end != claim_end::not_run;
+    const auto found = std::ranges::find(writer.outcomes, id,
+                                         [](const pending_outcome& p) { return p.outcome.id; });
+    const bool is_told = found != writer.outcomes.end() && found->outcome.end != claim_end::not_run;
     return is_told ? &found->outcome : nullptr;
 }
 
-settlement settle_against(const claim_log_writer& lane, const claim_entry& entry,
+settlement settle_against(const claim_log_writer& writer, const claim_entry& entry,
                           const pending_want& want, const live_lives& alive)
 {
     if (entry.id == want.claim.id && !entry.end) {
@@ -82,7 +82,7 @@
     if (entry.end) {
         return {next_step::answer, verdict_for_ended(entry)};
     }
-    if (const auto* told = find_told_outcome(lane, entry.id)) {
+    if (const auto* told = find_told_outcome(writer, entry.id)) {
         return {next_step::answer, verdict_for_ended({entry.id, 0, told->end, told->answer})};
     }
     if (!want.is_settled_view) {
@@ -93,95 +93,95 @@
     return {next_step::answer, claim_refused{code}};
 }
 
-settlement settle(const claim_log_writer& lane, const pending_want& want, const live_lives& alive)
+settlement settle(const claim_log_writer& writer, const pending_want& want, const live_lives& alive)
 {
-    if (lane.log.expired) {
+    if (writer.log.expired) {
         return {next_step::answer, claim_refused{result_code::key_too_old}};
     }
-    if (lane.log.void_ids.contains(want.claim.id)) {
+    if (writer.log.void_ids.contains(want.claim.id)) {
         return {next_step::answer, claim_refused{result_code::claim_store_unavailable}};
     }
-    const auto entry = lane.log.entries.find(want.claim.key);
-    if (entry == lane.log.entries.end() || entry->second.end == claim_end::not_run) {
+    const auto entry = writer.log.entries.find(want.claim.key);
+    if (entry == writer.log.entries.end() || entry->second.end == claim_end::not_run) {
         return {next_step::append, {}};
     }
-    return settle_against(lane, entry->second, want, alive);
+    return settle_against(writer, entry->second, want, alive);
 }
 
 /// Answers the claims that need no write. Returns whether a remaining claim needs the log to be
 /// read again.
-bool answer_settled(claim_log_writer& lane, const live_lives& alive, writer_output& out)
+bool answer_settled(claim_log_writer& writer, const live_lives& alive, writer_output& out)
 {
     bool look_again = false;
-    for (auto want = lane.wants.begin(); want != lane.wants.end();) {
-        const auto settled = settle(lane, *want, alive);
+    for (auto want = writer.wants.begin(); want != writer.wants.end();) {
+        const auto settled = settle(writer, *want, alive);
         look_again = look_again || settled.step == next_step::look_again;
         if (settled.step != next_step::answer) {
             ++want;
             continue;
         }
         out.verdicts.push_back({want->reply_to, want->claim.id, want->claim.key, settled.verdict});
-        want = lane.wants.erase(want);
+        want = writer.wants.erase(want);
     }
     return look_again;
 }
 
 /// Acknowledges outcomes that are already in the log or can no longer affect it.
-void answer_kept_outcomes(claim_log_writer& lane, writer_output& out)
+void answer_kept_outcomes(claim_log_writer& writer, writer_output& out)
 {
     const auto is_kept = [&](const pending_outcome& p) {
-        const auto entry = lane.log.entries.find(p.outcome.key);
-        const bool is_recorded = entry != lane.log.entries.end() &&
+        const auto entry = writer.log.entries.find(p.outcome.key);
+        const bool is_recorded = entry != writer.log.entries.end() &&
                                  entry->second.id == p.outcome.id && entry->second.end.has_value();
-        return lane.log.expired || is_recorded || lane.log.void_ids.contains(p.outcome.id);
+        return writer.log.expired || is_recorded || writer.log.void_ids.contains(p.outcome.id);
     };
-    for (auto outcome = lane.outcomes.begin(); outcome != lane.outcomes.end();) {
+    for (auto outcome = writer.outcomes.begin(); outcome != writer.outcomes.end();) {
         if (!is_kept(*outcome)) {
             ++outcome;
             continue;
         }
         out.kept.push_back({outcome->reply_to, outcome->outcome.id});
-        outcome = lane.outcomes.erase(outcome);
+        outcome = writer.outcomes.erase(outcome);
     }
 }
 
 /// Acknowledges the outcomes of the batch that has just become durable.
-void answer_written_outcomes(claim_log_writer& lane, writer_output& out)
+void answer_written_outcomes(claim_log_writer& writer, writer_output& out)
 {
-    for (const auto& record : lane.batch) {
+    for (const auto& record : writer.batch) {
         const auto* written = std::get_if<outcome_record>(&record);
         if (written == nullptr) {
             continue;
         }
         const auto pending = std::ranges::find(
-            lane.outcomes, written->id, [](const pending_outcome& p) { return p.outcome.id; });
-        if (pending != lane.outcomes.end()) {
+            writer.outcomes, written->id, [](const pending_outcome& p) { return p.outcome.id; });
+        if (pending != writer.outcomes.end()) {
             out.kept.push_back({pending->reply_to, written->id});
-            lane.outcomes.erase(pending);
+            writer.outcomes.erase(pending);
         }
     }
 }
 
-std::vector<log_record> make_batch(const claim_log_writer& lane)
+std::vector<log_record> make_batch(const claim_log_writer& writer)
 {
     std::vector<log_record> batch;
     std::set<claim_key> keys;
-    for (const auto& outcome : lane.outcomes) {
+    for (const auto& outcome : writer.outcomes) {
         if (batch.size() < max_batch_records) {
             batch.emplace_back(outcome.outcome);
         }
     }
-    const bool has_claims = std::ranges::any_of(lane.wants, [&](const pending_want& want) {
-        const auto entry = lane.log.entries.find(want.claim.key);
-        return entry == lane.log.entries.end() || entry->second.end == claim_end::not_run;
+    const bool has_claims = std::ranges::any_of(writer.wants, [&](const pending_want& want) {
+        const auto entry = writer.log.entries.find(want.claim.key);
+        return entry == writer.log.entries.end() || entry->second.end == claim_end::not_run;
     });
-    if (!has_claims && !lane.outcomes_due) {
+    if (!has_claims && !writer.outcomes_due) {
         return {};
     }
-    for (const auto& want : lane.wants) {
-        const auto entry = lane.log.entries.find(want.claim.key);
+    for (const auto& want : writer.wants) {
+        const auto entry = writer.log.entries.find(want.claim.key);
         const bool is_free =
-            entry == lane.log.entries.end() || entry->second.end == claim_end::not_run;
+            entry == writer.log.entries.end() || entry->second.end == claim_end::not_run;
         // One claim per key and batch: a second one waits and is then answered from the log.
         if (is_free && batch.size() < max_batch_records && keys.insert(want.claim.key).second) {
             batch.emplace_back(want.claim);
@@ -190,141 +190,142 @@
     return batch;
 }
 
-void start_write(claim_log_writer& lane, std::vector<log_record> batch, writer_output& out)
+void start_write(claim_log_writer& writer, std::vector<log_record> batch, writer_output& out)
 {
-    auto body = encode(with_batch(lane.log, lane.id.slice, batch));
-    lane.stage = writer_stage::writing;
-    lane.batch = std::move(batch);
-    lane.batch_bytes = body.size();
-    lane.outcomes_due = false;
-    lane.call = (*out.next_call)++;
-    out.store.emplace_back(write_claims_effect{lane.call, current_segment_key(lane),
-                                               lane.log.last.version, std::move(body)});
+    auto body = encode(with_batch(writer.log, writer.id.slice, batch));
+    writer.stage = writer_stage::writing;
+    writer.batch = std::move(batch);
+    writer.batch_bytes = body.size();
+    writer.outcomes_due = false;
+    writer.call = (*out.next_call)++;
+    out.store.emplace_back(write_claims_effect{writer.call, current_segment_key(writer),
+                                               writer.log.last.version, std::move(body)});
 }
 
-void refuse_all_as_full(claim_log_writer& lane, writer_output& out)
+void refuse_all_as_full(claim_log_writer& writer, writer_output& out)
 {
-    for (const auto& want : lane.wants) {
+    for (const auto& want : writer.wants) {
         refuse(out, want, result_code::claim_store_full);
     }
-    lane.wants.clear();
+    writer.wants.clear();
 }
 
 } // namespace
 
-std::string current_segment_key(const claim_log_writer& lane)
+std::string current_segment_key(const claim_log_writer& writer)
 {
-    return segment_key(lane.id.bucket, lane.id.slice, lane.log.last.index);
+    return segment_key(writer.id.bucket, writer.id.slice, writer.log.last.index);
 }
 
-void add_want(claim_log_writer& lane, pending_want want, writer_output& out)
+void add_want(claim_log_writer& writer, pending_want want, writer_output& out)
 {
     const bool is_known = std::ranges::any_of(
-        lane.wants, [&](const pending_want& other) { return other.claim.id == want.claim.id; });
+        writer.wants, [&](const pending_want& other) { return other.claim.id == want.claim.id; });
     if (is_known) {
         return;
     }
-    if (lane.wants.size() >= max_lane_wants) {
+    if (writer.wants.size() >= max_lane_wants) {
         refuse(out, want, result_code::claim_store_full);
         return;
     }
-    lane.wants.push_back(std::move(want));
+    writer.wants.push_back(std::move(want));
 }
 
-void add_outcome(claim_log_writer& lane, pending_outcome outcome)
+void add_outcome(claim_log_writer& writer, pending_outcome outcome)
 {
-    const bool is_known = std::ranges::any_of(lane.outcomes, [&](const pending_outcome& other) {
+    const bool is_known = std::ranges::any_of(writer.outcomes, [&](const pending_outcome& other) {
         return other.outcome.id == outcome.outcome.id;
     });
     if (!is_known) {
-        lane.outcomes.push_back(std::move(outcome));
+        writer.outcomes.push_back(std::move(outcome));
     }
 }
 
-void advance(claim_log_writer& lane, const live_lives& alive, monotonic_time now,
+void advance(claim_log_writer& writer, const live_lives& alive, monotonic_time now,
              writer_output& out)
 {
-    const bool has_work = !lane.wants.empty() || !lane.outcomes.empty();
-    if (lane.stage == writer_stage::pausing && has_work && now >= lane.retry_at) {
-        start_read(lane, out);
+    const bool has_work = !writer.wants.empty() || !writer.outcomes.empty();
+    if (writer.stage == writer_stage::pausing && has_work && now >= writer.retry_at) {
+        start_read(writer, out);
     }
-    if (lane.stage != writer_stage::ready) {
+    if (writer.stage != writer_stage::ready) {
         return;
     }
-    const bool look_again = answer_settled(lane, alive, out);
-    answer_kept_outcomes(lane, out);
-    if (lane.log.last.index >= max_segments) {
-        refuse_all_as_full(lane, out);
+    const bool look_again = answer_settled(writer, alive, out);
+    answer_kept_outcomes(writer, out);
+    if (writer.log.last.index >= max_segments) {
+        refuse_all_as_full(writer, out);
         return;
     }
-    auto batch = make_batch(lane);
+    auto batch = make_batch(writer);
     if (!batch.empty()) {
-        start_write(lane, std::move(batch), out);
+        start_write(writer, std::move(batch), out);
     } else if (look_again) {
-        start_read(lane, out);
+        start_read(writer, out);
     }
 }
 
-void take_lane_read(claim_log_writer& lane, const result<stored_object>& object, monotonic_time now,
-                    writer_output& out)
+void take_lane_read(claim_log_writer& writer, const result<stored_object>& object,
+                    monotonic_time now, writer_output& out)
 {
-    if (lane.stage != writer_stage::reading) {
+    if (writer.stage != writer_stage::reading) {
         return;
     }
     const auto code = code_of(object);
     if (code != result_code::ok && code != result_code::platform_not_found) {
-        pause(lane, now);
+        pause(writer, now);
         return;
     }
-    lane.failures = 0;
+    writer.failures = 0;
     const auto found = succeeded(object) ? std::optional(value_of(object)) : std::nullopt;
-    if (take_segment(lane.log, lane.id.slice, found) == segment_use::read_next) {
-        start_next_segment(lane.log);
-        start_read(lane, out);
+    if (take_segment(writer.log, writer.id.slice, found) == segment_use::read_next) {
+        start_next_segment(writer.log);
+        start_read(writer, out);
         return;
     }
-    lane.stage = writer_stage::ready;
-    mark_views_settled(lane);
+    writer.stage = writer_stage::ready;
+    mark_views_settled(writer);
 }
 
-void take_lane_write(claim_log_writer& lane, const result<object_version>& version,
+void take_lane_write(claim_log_writer& writer, const result<object_version>& version,
                      monotonic_time now, writer_output& out)
 {
-    if (lane.stage != writer_stage::writing) {
+    if (writer.stage != writer_stage::writing) {
         return;
     }
     if (!succeeded(version)) {
-        lane.batch.clear();
+        writer.batch.clear();
         // Even a failed write may have taken effect, so the log is read again before the next one.
         if (code_of(version) == result_code::platform_conflict) {
-            start_read(lane, out);
+            start_read(writer, out);
         } else {
-            pause(lane, now);
+            pause(writer, now);
         }
         return;
     }
-    lane.failures = 0;
-    const bool is_full = take_written(lane.log, lane.batch, lane.batch_bytes, value_of(version));
-    answer_written_outcomes(lane, out);
-    lane.batch.clear();
-    lane.stage = writer_stage::ready;
-    mark_views_settled(lane);
+    writer.failures = 0;
+    const bool is_full =
+        take_written(writer.log, writer.batch, writer.batch_bytes, value_of(version));
+    answer_written_outcomes(writer, out);
+    writer.batch.clear();
+    writer.stage = writer_stage::ready;
+    mark_views_settled(writer);
     if (is_full) {
-        start_next_segment(lane.log);
-        start_read(lane, out);
+        start_next_segment(writer.log);
+        start_read(writer, out);
     }
 }
 
-void tick_lane(claim_log_writer& lane, monotonic_time now, writer_output& out)
+void tick_lane(claim_log_writer& writer, monotonic_time now, writer_output& out)
 {
-    lane.outcomes_due = !lane.outcomes.empty();
-    for (auto want = lane.wants.begin(); want != lane.wants.end();) {
+    writer.outcomes_due = !writer.outcomes.empty();
+    for (auto want = writer.wants.begin(); want != writer.wants.end();) {
         if (now < want->deadline) {
             ++want;
             continue;
         }
         refuse(out, *want, result_code::claim_store_unavailable);
-        want = lane.wants.erase(want);
+        want = writer.wants.erase(want);
     }
 }
 
--- a/source/claims/claim_lane.h
+++ b/source/claims/claim_lane.h
@@ -85,23 +85,23 @@
     std::vector<outcome_ack> kept;
 };
 
-void add_want(claim_log_writer& lane, pending_want want, writer_output& out);
-void add_outcome(claim_log_writer& lane, pending_outcome outcome);
+void add_want(claim_log_writer& writer, pending_want want, writer_output& out);
+void add_outcome(claim_log_writer& writer, pending_outcome outcome);
 
 /// Answers what the local copy of the log allows and starts the next read or write if none is in
 /// flight. `alive` are the hosts whose claims may still be running.
-void advance(claim_log_writer& lane, const live_lives& alive, monotonic_time now,
+void advance(claim_log_writer& writer, const live_lives& alive, monotonic_time now,
              writer_output& out);
 
-void take_lane_read(claim_log_writer& lane, const result<stored_object>& object, monotonic_time now,
-                    writer_output& out);
-void take_lane_write(claim_log_writer& lane, const result<object_version>& version,
+void take_lane_read(claim_log_writer& writer, const result<stored_object>& object,
+                    monotonic_time now, writer_output& out);
+void take_lane_write(claim_log_writer& writer, const result<object_version>& version,
                      monotonic_time now, writer_output& out);
 
 /// Refuses claims past their deadline and makes pending outcomes due for writing.
-void tick_lane(claim_log_writer& lane, monotonic_time now, writer_output& out);
+void tick_lane(claim_log_writer& writer, monotonic_time now, writer_output& out);
 
 /// The key of the segment object that is currently read or appended to.
-std::string current_segment_key(const claim_log_writer& lane);
+std::string current_segment_key(const claim_log_writer& writer);
 
 } // namespace almondquay
--- a/source/claims/claim_reducer.cpp
+++ b/source/claims/claim_reducer.cpp
@@ -24,31 +24,31 @@
     s.out.emplace_back(claim_message_effect{to, {s.world.self, std::move(body)}});
 }
 
-void run_lane(step& s, claim_log_writer& lane, writer_output output);
+void run_lane(step& s, claim_log_writer& writer, writer_output output);
 
 claim_log_writer& lane_of(step& s, const claim_key& key)
 {
     const claim_log_id id{bucket_of(key), slice_of(key)};
-    auto& lane = s.state.writers[id];
-    lane.id = id;
-    lane.last_used = s.now;
-    return lane;
+    auto& writer = s.state.writers[id];
+    writer.id = id;
+    writer.last_used = s.now;
+    return writer;
 }
 
 void put_in_lane(step& s, const claim_record& claim, const host_id& reply_to,
                  monotonic_time deadline)
 {
-    auto& lane = lane_of(s, claim.key);
+    auto& writer = lane_of(s, claim.key);
     writer_output output;
-    add_want(lane, {claim, reply_to, deadline, false}, output);
-    run_lane(s, lane, std::move(output));
+    add_want(writer, {claim, reply_to, deadline, false}, output);
+    run_lane(s, writer, std::move(output));
 }
 
 void put_in_lane(step& s, const outcome_record& outcome, const host_id& reply_to)
 {
-    auto& lane = lane_of(s, outcome.key);
-    add_outcome(lane, {outcome, reply_to});
-    run_lane(s, lane, {});
+    auto& writer = lane_of(s, outcome.key);
+    add_outcome(writer, {outcome, reply_to});
+    run_lane(s, writer, {});
 }
 
 void send_outcome(step& s, unsaved_outcome& unsaved)
@@ -155,10 +155,10 @@
 }
 
 /// Advances a log writer and dispatches its output. Verdicts for this host are applied at once.
-void run_lane(step& s, claim_log_writer& lane, writer_output output)
+void run_lane(step& s, claim_log_writer& writer, writer_output output)
 {
     output.next_call = &s.state.next_call;
-    advance(lane, s.world.alive, s.now, output);
+    advance(writer, s.world.alive, s.now, output);
     std::ranges::move(output.store, std::back_inserter(s.out));
     for (const auto& kept : output.kept) {
         if (kept.to == s.world.self) {
@@ -265,19 +265,19 @@
 
 void take(step& s, const claim_read_event& e)
 {
-    if (auto* lane = find_lane(s.state, e.call)) {
+    if (auto* writer = find_lane(s.state, e.call)) {
         auto output = empty_output(s);
-        take_lane_read(*lane, e.object, s.now, output);
-        run_lane(s, *lane, std::move(output));
+        take_lane_read(*writer, e.object, s.now, output);
+        run_lane(s, *writer, std::move(output));
     }
 }
 
 void take(step& s, const claim_written_event& e)
 {
-    if (auto* lane = find_lane(s.state, e.call)) {
+    if (auto* writer = find_lane(s.state, e.call)) {
         auto output = empty_output(s);
-        take_lane_write(*lane, e.version, s.now, output);
-        run_lane(s, *lane, std::move(output));
+        take_lane_write(*writer, e.version, s.now, output);
+        run_lane(s, *writer, std::move(output));
     }
 }
 
@@ -338,16 +338,16 @@
 void tick_lanes(step& s)
 {
     std::erase_if(s.state.writers, [&](const auto& entry) {
-        const auto& lane = entry.second;
+        const auto& writer = entry.second;
         const bool is_busy =
-            lane.stage == writer_stage::reading || lane.stage == writer_stage::writing;
-        return !is_busy && lane.wants.empty() && lane.outcomes.empty() &&
-               s.now - lane.last_used > lane_idle_limit;
+            writer.stage == writer_stage::reading || writer.stage == writer_stage::writing;
+        return !is_busy && writer.wants.empty() && writer.outcomes.empty() &&
+               s.now - writer.last_used > lane_idle_limit;
     });
-    for (auto& [id, lane] : s.state.writers) {
+    for (auto& [id, writer] : s.state.writers) {
         writer_output output;
-        tick_lane(lane, s.now, output);
-        run_lane(s, lane, std::move(output));
+        tick_lane(writer, s.now, output);
+        run_lane(s, writer, std::move(output));
     }
 }
 
--- a/unit_tests/claims/claim_world.cpp
+++ b/unit_tests/claims/claim_world.cpp
@@ -385,13 +385,13 @@
         boost::hash_combine(seed, h.state.running.size());
         boost::hash_combine(seed, h.state.unsaved.size());
         boost::hash_combine(seed, h.state.own.size());
-        for (const auto& [id, lane] : h.state.writers) {
-            boost::hash_combine(seed, static_cast<int>(lane.stage));
-            boost::hash_combine(seed, lane.wants.size());
-            boost::hash_combine(seed, lane.outcomes.size());
-            boost::hash_combine(seed, lane.batch.size());
-            boost::hash_combine(seed, lane.log.last.version.value_or(0));
-            boost::hash_combine(seed, lane.log.void_ids.size());
+        for (const auto& [id, writer] : h.state.writers) {
+            boost::hash_combine(seed, static_cast<int>(writer.stage));
+            boost::hash_combine(seed, writer.wants.size());
+            boost::hash_combine(seed, writer.outcomes.size());
+            boost::hash_combine(seed, writer.batch.size());
+            boost::hash_combine(seed, writer.log.last.version.value_or(0));
+            boost::hash_combine(seed, writer.log.void_ids.size());
         }
     }
     for (const auto& [key, object] : m.objects) {
