--- a/source/claims/claim_reducer.cpp
+++ b/source/claims/claim_reducer.cpp
@@ -26,7 +26,7 @@
 
 void run_lane(step& s, claim_log_writer& writer, writer_output output);
 
-claim_log_writer& lane_of(step& s, const claim_key& key)
+claim_log_writer& writer_for(step& s, const claim_key& key)
 {
     const claim_log_id id{bucket_of(key), slice_of(key)};
     auto& writer = s.state.writers[id];
@@ -38,7 +38,7 @@
 void put_in_lane(step& s, const claim_record& claim, const host_id& reply_to,
                  monotonic_time deadline)
 {
-    auto& writer = lane_of(s, claim.key);
+    auto& writer = writer_for(s, claim.key);
     writer_output output;
     add_want(writer, {claim, reply_to, deadline, false}, output);
     run_lane(s, writer, std::move(output));
@@ -46,7 +46,7 @@
 
 void put_in_lane(step& s, const outcome_record& outcome, const host_id& reply_to)
 {
-    auto& writer = lane_of(s, outcome.key);
+    auto& writer = writer_for(s, outcome.key);
     add_outcome(writer, {outcome, reply_to});
     run_lane(s, writer, {});
 }
