--- a/source/claims/claim_reducer.cpp
+++ b/source/claims/claim_reducer.cpp
@@ -24,7 +24,7 @@
     s.out.emplace_back(claim_message_effect{to, {s.world.self, std::move(body)}});
 }
 
-void run_lane(step& s, claim_log_writer& writer, writer_output output);
+void run_writer(step& s, claim_log_writer& writer, writer_output output);
 
 claim_log_writer& writer_for(step& s, const claim_key& key)
 {
@@ -41,14 +41,14 @@
     auto& writer = writer_for(s, claim.key);
     writer_output output;
     add_want(writer, {claim, reply_to, deadline, false}, output);
-    run_lane(s, writer, std::move(output));
+    run_writer(s, writer, std::move(output));
 }
 
 void put_in_lane(step& s, const outcome_record& outcome, const host_id& reply_to)
 {
     auto& writer = writer_for(s, outcome.key);
     add_outcome(writer, {outcome, reply_to});
-    run_lane(s, writer, {});
+    run_writer(s, writer, {});
 }
 
 void send_outcome(step& s, unsaved_outcome& unsaved)
@@ -155,7 +155,7 @@
 }
 
 /// Advances a log writer and dispatches its output. Verdicts for this host are applied at once.
-void run_lane(step& s, claim_log_writer& writer, writer_output output)
+void run_writer(step& s, claim_log_writer& writer, writer_output output)
 {
     output.next_call = &s.state.next_call;
     advance(writer, s.world.alive, s.now, output);
@@ -268,7 +268,7 @@
     if (auto* writer = find_lane(s.state, e.call)) {
         auto output = empty_output(s);
         take_lane_read(*writer, e.object, s.now, output);
-        run_lane(s, *writer, std::move(output));
+        run_writer(s, *writer, std::move(output));
     }
 }
 
@@ -277,7 +277,7 @@
     if (auto* writer = find_lane(s.state, e.call)) {
         auto output = empty_output(s);
         take_lane_write(*writer, e.version, s.now, output);
-        run_lane(s, *writer, std::move(output));
+        run_writer(s, *writer, std::move(output));
     }
 }
 
@@ -347,7 +347,7 @@
     for (auto& [id, writer] : s.state.writers) {
         writer_output output;
         tick_lane(writer, s.now, output);
-        run_lane(s, writer, std::move(output));
+        run_writer(s, writer, std::move(output));
     }
 }
 
