--- a/source/claims/claim_reducer.cpp
+++ b/source/claims/claim_reducer.cpp
@@ -35,8 +35,7 @@
     return writer;
 }
 
-void put_in_lane(step& s, const claim_record& claim, const host_id& reply_to,
-                 monotonic_time deadline)
+void enqueue(step& s, const claim_record& claim, const host_id& reply_to, monotonic_time deadline)
 {
     auto& writer = writer_for(s, claim.key);
     writer_output output;
@@ -44,7 +43,7 @@
     run_writer(s, writer, std::move(output));
 }
 
-void put_in_lane(step& s, const outcome_record& outcome, const host_id& reply_to)
+void enqueue(step& s, const outcome_record& outcome, const host_id& reply_to)
 {
     auto& writer = writer_for(s, outcome.key);
     add_outcome(writer, {outcome, reply_to});
@@ -56,7 +55,7 @@
     unsaved.next_send = s.now + outcome_resend_interval;
     const auto owner = owner_of(bucket_of(unsaved.outcome.key), s.world.owners);
     if (owner == s.world.self || owner.value.empty()) {
-        put_in_lane(s, outcome_record(unsaved.outcome), s.world.self);
+        enqueue(s, outcome_record(unsaved.outcome), s.world.self);
     } else {
         send(s, owner, outcome_message{unsaved.outcome});
     }
@@ -208,7 +207,7 @@
     const auto owner = owner_of(bucket_of(w.claim.key), s.world.owners);
     w.is_direct = owner == s.world.self || owner.value.empty();
     if (w.is_direct) {
-        put_in_lane(s, claim_record(w.claim), s.world.self, w.deadline);
+        enqueue(s, claim_record(w.claim), s.world.self, w.deadline);
         return;
     }
     const auto left = std::chrono::duration_cast<std::chrono::milliseconds>(w.deadline - s.now);
@@ -288,10 +287,10 @@
                    [&](const want_message& m) {
                        const auto left =
                            std::clamp(m.time_left, std::chrono::milliseconds{0}, claim_patience);
-                       put_in_lane(s, m.claim, from, s.now + left);
+                       enqueue(s, m.claim, from, s.now + left);
                    },
                    [&](const verdict_message& m) { take_verdict(s, m.id, m.key, m.verdict); },
-                   [&](const outcome_message& m) { put_in_lane(s, m.outcome, from); },
+                   [&](const outcome_message& m) { enqueue(s, m.outcome, from); },
                    [&](const outcome_kept_message& m) { take_kept(s, m.id); },
                },
                e.message.body);
@@ -314,7 +313,7 @@
                          claim_refused{result_code::claim_store_unavailable});
         } else if (!w.is_direct && s.now >= w.direct_at) {
             w.is_direct = true;
-            put_in_lane(s, claim_record(w.claim), s.world.self, w.deadline);
+            enqueue(s, claim_record(w.claim), s.world.self, w.deadline);
         }
     }
 }
