--- a/source/claims/claim_reducer.cpp
+++ b/source/claims/claim_reducer.cpp
@@ -248,7 +248,7 @@
     save_outcome(s, outcome);
 }
 
-claim_log_writer* find_lane(claim_state& state, store_call call)
+claim_log_writer* find_writer(claim_state& state, store_call call)
 {
     const auto found = std::ranges::find_if(
         state.writers, [&](const auto& entry) { return entry.second.call == call; });
@@ -264,7 +264,7 @@
 
 void take(step& s, const claim_read_event& e)
 {
-    if (auto* writer = find_lane(s.state, e.call)) {
+    if (auto* writer = find_writer(s.state, e.call)) {
         auto output = empty_output(s);
         take_lane_read(*writer, e.object, s.now, output);
         run_writer(s, *writer, std::move(output));
@@ -273,7 +273,7 @@
 
 void take(step& s, const claim_written_event& e)
 {
-    if (auto* writer = find_lane(s.state, e.call)) {
+    if (auto* writer = find_writer(s.state, e.call)) {
         auto output = empty_output(s);
         take_lane_write(*writer, e.version, s.now, output);
         run_writer(s, *writer, std::move(output));
