--- a/source/claims/claim_reducer.cpp
+++ b/source/claims/claim_reducer.cpp
@@ -334,7 +334,7 @@
     }
 }
 
-void tick_lanes(step& s)
+void tick_writers(step& s)
 {
     std::erase_if(s.state.writers, [&](const auto& entry) {
         const auto& writer = entry.second;
@@ -354,7 +354,7 @@
 {
     tick_waiting(s);
     tick_unsaved(s);
-    tick_lanes(s);
+    tick_writers(s);
 }
 
 } // namespace
