--- a/source/claims/claim_lane.cpp
+++ b/source/claims/claim_lane.cpp
@@ -316,7 +316,7 @@
     }
 }
 
-void tick_lane(claim_log_writer& writer, monotonic_time now, writer_output& out)
+void tick_writer(claim_log_writer& writer, monotonic_time now, writer_output& out)
 {
     writer.outcomes_due = !writer.outcomes.empty();
     for (auto want = writer.wants.begin(); want != writer.wants.end();) {
--- a/source/claims/claim_lane.h
+++ b/source/claims/claim_lane.h
@@ -99,7 +99,7 @@
                      monotonic_time now, writer_output& out);
 
 /// Refuses claims past their deadline and makes pending outcomes due for writing.
-void tick_lane(claim_log_writer& writer, monotonic_time now, writer_output& out);
+void tick_writer(claim_log_writer& writer, monotonic_time now, writer_output& out);
 
 /// The key of the segment object that is currently read or appended to.
 std::string current_segment_key(const claim_log_writer& writer);
--- a/source/claims/claim_reducer.cpp
+++ b/source/claims/claim_reducer.cpp
@@ -345,7 +345,7 @@
     });
     for (auto& [id, writer] : s.state.writers) {
         writer_output output;
-        tick_lane(writer, s.now, output);
+        tick_writer(writer, s.now, output);
         run_writer(s, writer, std::move(output));
     }
 }
