--- a/source/claims/claim_lane.cpp
+++ b/source/claims/claim_lane.cpp
@@ -265,8 +265,8 @@
     }
 }
 
-void take_lane_read(claim_log_writer& writer, const result<stored_object>& object,
-                    monotonic_time now, writer_output& out)
+void handle_read(claim_log_writer& writer, const result<stored_object>& object, monotonic_time now,
+                 writer_output& out)
 {
     if (writer.stage != writer_stage::reading) {
         return;
--- a/source/claims/claim_lane.h
+++ b/source/claims/claim_lane.h
@@ -93,8 +93,8 @@
 void advance(claim_log_writer& writer, const live_lives& alive, monotonic_time now,
              writer_output& out);
 
-void take_lane_read(claim_log_writer& writer, const result<stored_object>& object,
-                    monotonic_time now, writer_output& out);
+void handle_read(claim_log_writer& writer, const result<stored_object>& object, monotonic_time now,
+                 writer_output& out);
 void take_lane_write(claim_log_writer& writer, const result<object_version>& version,
                      monotonic_time now, writer_output& out);
 
--- a/source/claims/claim_reducer.cpp
+++ b/source/claims/claim_reducer.cpp
@@ -266,7 +266,7 @@
 {
     if (auto* writer = find_writer(s.state, e.call)) {
         auto output = empty_output(s);
-        take_lane_read(*writer, e.object, s.now, output);
+        handle_read(*writer, e.object, s.now, output);
         run_writer(s, *writer, std::move(output));
     }
 }
