--- a/source/claims/claim_lane.cpp
+++ b/source/claims/claim_lane.cpp
@@ -287,8 +287,8 @@
     mark_views_settled(writer);
 }
 
-void take_lane_write(claim_log_writer& writer, const result<object_version>& version,
-                     monotonic_time now, writer_output& out)
+void handle_write(claim_log_writer& writer, const result<object_version>& version,
+                  monotonic_time now, writer_output& out)
 {
     if (writer.stage != writer_stage::writing) {
         return;
--- a/source/claims/claim_lane.h
+++ b/source/claims/claim_lane.h
@@ -95,8 +95,8 @@
 
 void handle_read(claim_log_writer& writer, const result<stored_object>& object, monotonic_time now,
                  writer_output& out);
-void take_lane_write(claim_log_writer& writer, const result<object_version>& version,
-                     monotonic_time now, writer_output& out);
+void handle_write(claim_log_writer& writer, const result<object_version>& version,
+                  monotonic_time now, writer_output& out);
 
 /// Refuses claims past their deadline and makes pending outcomes due for writing.
 void tick_writer(claim_log_writer& writer, monotonic_time now, writer_output& out);
--- a/source/claims/claim_reducer.cpp
+++ b/source/claims/claim_reducer.cpp
@@ -275,7 +275,7 @@
 {
     if (auto* writer = find_writer(s.state, e.call)) {
         auto output = empty_output(s);
-        take_lane_write(*writer, e.version, s.now, output);
+        handle_write(*writer, e.version, s.now, output);
         run_writer(s, *writer, std::move(output));
     }
 }
