--- a/source/claims/claim_reducer.cpp
+++ b/source/claims/claim_reducer.cpp
@@ -341,7 +341,7 @@
         const bool is_busy =
             writer.stage == writer_stage::reading || writer.stage == writer_stage::writing;
         return !is_busy && writer.wants.empty() && writer.outcomes.empty() &&
-               s.now - writer.last_used > lane_idle_limit;
+               s.now - writer.last_used > writer_idle_timeout;
     });
     for (auto& [id, writer] : s.state.writers) {
         writer_output output;
--- a/source/claims/claim_reducer.h
+++ b/source/claims/claim_reducer.h
@@ -67,7 +67,7 @@
 /// the log can answer for them; retries of a key whose outcome was dropped get
 /// claim_outcome_unknown.
 constexpr std::size_t max_own_claims = 20'000;
-constexpr std::chrono::seconds lane_idle_limit{120};
+constexpr std::chrono::seconds writer_idle_timeout{120};
 
 /// Applies one event to the state and returns the resulting effects.
 claim_effects reduce_claims(claim_state& state, const claim_world& world, const claim_event& e,
