--- a/source/claims/claim_lane.cpp
+++ b/source/claims/claim_lane.cpp
@@ -224,7 +224,7 @@
     if (is_known) {
         return;
     }
-    if (writer.wants.size() >= max_lane_wants) {
+    if (writer.wants.size() >= max_queued_claims) {
         refuse(out, want, result_code::claim_store_full);
         return;
     }
