--- a/source/claims/claim_lane.cpp
+++ b/source/claims/claim_lane.cpp
@@ -23,7 +23,7 @@
 
 void pause(claim_log_writer& writer, monotonic_time now)
 {
-    const auto doubled = shortest_lane_pause * (1U << std::min(writer.failures, max_doublings));
+    const auto doubled = min_retry_delay * (1U << std::min(writer.failures, max_doublings));
     ++writer.failures;
     writer.stage = writer_stage::pausing;
     writer.retry_at = now + std::min(doubled, longest_lane_pause);
