--- a/source/claims/claim_lane.cpp
+++ b/source/claims/claim_lane.cpp
@@ -26,7 +26,7 @@
     const auto doubled = min_retry_delay * (1U << std::min(writer.failures, max_doublings));
     ++writer.failures;
     writer.stage = writer_stage::pausing;
-    writer.retry_at = now + std::min(doubled, longest_lane_pause);
+    writer.retry_at = now + std::min(doubled, max_retry_delay);
 }
 
 void mark_views_settled(claim_log_writer& writer)
--- a/source/claims/claim_lane.h
+++ b/source/claims/claim_lane.h
@@ -63,7 +63,7 @@
 /// Queue limit of one log writer; further claims are refused at once.
 constexpr std::size_t max_queued_claims = 2'048;
 constexpr std::chrono::milliseconds min_retry_delay{50};
-constexpr std::chrono::milliseconds longest_lane_pause{2'000};
+constexpr std::chrono::milliseconds max_retry_delay{2'000};
 
 struct writer_verdict {
     host_id to;
