--- a/source/claims/claim_lane.cpp
+++ b/source/claims/claim_lane.cpp
@@ -25,7 +25,7 @@
 {
     const auto doubled = min_retry_delay * (1U << std::min(writer.failures, max_doublings));
     ++writer.failures;
-    writer.stage = writer_stage::pausing;
+    writer.stage = writer_stage::backing_off;
     writer.retry_at = now + std::min(doubled, max_retry_delay);
 }
 
@@ -245,7 +245,7 @@
              writer_output& out)
 {
     const bool has_work = !writer.wants.empty() || !writer.outcomes.empty();
-    if (writer.stage == writer_stage::pausing && has_work && now >= writer.retry_at) {
+    if (writer.stage == writer_stage::backing_off && has_work && now >= writer.retry_at) {
         start_read(writer, out);
     }
     if (writer.stage != writer_stage::ready) {
--- a/source/claims/claim_lane.h
+++ b/source/claims/claim_lane.h
@@ -37,16 +37,16 @@
 };
 
 enum class writer_stage {
-    reading, ///< a read is in flight
-    ready,   ///< the whole log has been read; the local copy may be outdated
-    writing, ///< a write is in flight
-    pausing, ///< backing off after a platform failure; the log is read again afterwards
+    reading,     ///< a read is in flight
+    ready,       ///< the whole log has been read; the local copy may be outdated
+    writing,     ///< a write is in flight
+    backing_off, ///< backing off after a platform failure; the log is read again afterwards
 };
 
 struct claim_log_writer {
     claim_log_id id;
     claim_log log;
-    writer_stage stage = writer_stage::pausing;
+    writer_stage stage = writer_stage::backing_off;
     std::deque<pending_want> wants;
     std::deque<pending_outcome> outcomes;
     std::vector<log_record> batch; ///< the records of the write in flight
