--- a/source/claims/claim_lane.cpp
+++ b/source/claims/claim_lane.cpp
@@ -21,7 +21,7 @@
     out.store.emplace_back(read_claims_effect{writer.call, current_segment_key(writer)});
 }
 
-void pause(claim_log_writer& writer, monotonic_time now)
+void back_off(claim_log_writer& writer, monotonic_time now)
 {
     const auto doubled = min_retry_delay * (1U << std::min(writer.failures, max_doublings));
     ++writer.failures;
@@ -273,7 +273,7 @@
     }
     const auto code = code_of(object);
     if (code != result_code::ok && code != result_code::platform_not_found) {
-        pause(writer, now);
+        back_off(writer, now);
         return;
     }
     writer.failures = 0;
@@ -299,7 +299,7 @@
         if (code_of(version) == result_code::platform_conflict) {
             start_read(writer, out);
         } else {
-            pause(writer, now);
+            back_off(writer, now);
         }
         return;
     }
