--- a/source/claims/claim_lane.cpp
+++ b/source/claims/claim_lane.cpp
@@ -9,7 +9,7 @@
 
 constexpr unsigned max_doublings = 6;
 
-void refuse(writer_output& out, const pending_want& want, result_code code)
+void refuse(writer_output& out, const queued_claim& want, result_code code)
 {
     out.verdicts.push_back({want.reply_to, want.claim.id, want.claim.key, claim_refused{code}});
 }
@@ -71,7 +71,7 @@
 }
 
 settlement settle_against(const claim_log_writer& writer, const claim_entry& entry,
-                          const pending_want& want, const live_lives& alive)
+                          const queued_claim& want, const live_lives& alive)
 {
     if (entry.id == want.claim.id && !entry.end) {
         return {next_step::answer, claim_granted{}};
@@ -93,7 +93,7 @@
     return {next_step::answer, claim_refused{code}};
 }
 
-settlement settle(const claim_log_writer& writer, const pending_want& want, const live_lives& alive)
+settlement settle(const claim_log_writer& writer, const queued_claim& want, const live_lives& alive)
 {
     if (writer.log.expired) {
         return {next_step::answer, claim_refused{result_code::key_too_old}};
@@ -171,7 +171,7 @@
             batch.emplace_back(outcome.outcome);
         }
     }
-    const bool has_claims = std::ranges::any_of(writer.wants, [&](const pending_want& want) {
+    const bool has_claims = std::ranges::any_of(writer.wants, [&](const queued_claim& want) {
         const auto entry = writer.log.entries.find(want.claim.key);
         return entry == writer.log.entries.end() || entry->second.end == claim_end::not_run;
     });
@@ -217,10 +217,10 @@
     return segment_key(writer.id.bucket, writer.id.slice, writer.log.last.index);
 }
 
-void add_want(claim_log_writer& writer, pending_want want, writer_output& out)
+void add_want(claim_log_writer& writer, queued_claim want, writer_output& out)
 {
     const bool is_known = std::ranges::any_of(
-        writer.wants, [&](const pending_want& other) { return other.claim.id == want.claim.id; });
+        writer.wants, [&](const queued_claim& other) { return other.claim.id == want.claim.id; });
     if (is_known) {
         return;
     }
--- a/source/claims/claim_lane.h
+++ b/source/claims/claim_lane.h
@@ -23,7 +23,7 @@
 };
 
 /// A claim that is waiting to become durable.
-struct pending_want {
+struct queued_claim {
     claim_record claim;
     host_id reply_to;
     monotonic_time deadline{};
@@ -47,7 +47,7 @@
     claim_log_id id;
     claim_log log;
     writer_stage stage = writer_stage::backing_off;
-    std::deque<pending_want> wants;
+    std::deque<queued_claim> wants;
     std::deque<pending_outcome> outcomes;
     std::vector<log_record> batch; ///< the records of the write in flight
     store_call call = 0;           ///< the platform call in flight
@@ -85,7 +85,7 @@
     std::vector<outcome_ack> kept;
 };
 
-void add_want(claim_log_writer& writer, pending_want want, writer_output& out);
+void add_want(claim_log_writer& writer, queued_claim want, writer_output& out);
 void add_outcome(claim_log_writer& writer, pending_outcome outcome);
 
 /// Answers what the local copy of the log allows and starts the next read or write if none is in
