--- a/source/claims/claim_lane.cpp
+++ b/source/claims/claim_lane.cpp
@@ -31,7 +31,7 @@
 
 void mark_views_settled(claim_log_writer& writer)
 {
-    for (auto& want : writer.wants) {
+    for (auto& want : writer.queued_claims) {
         want.is_settled_view = true;
     }
 }
@@ -113,7 +113,7 @@
 bool answer_settled(claim_log_writer& writer, const live_lives& alive, writer_output& out)
 {
     bool look_again = false;
-    for (auto want = writer.wants.begin(); want != writer.wants.end();) {
+    for (auto want = writer.queued_claims.begin(); want != writer.queued_claims.end();) {
         const auto settled = settle(writer, *want, alive);
         look_again = look_again || settled.step == next_step::look_again;
         if (settled.step != next_step::answer) {
@@ -121,7 +121,7 @@
             continue;
         }
         out.verdicts.push_back({want->reply_to, want->claim.id, want->claim.key, settled.verdict});
-        want = writer.wants.erase(want);
+        want = writer.queued_claims.erase(want);
     }
     return look_again;
 }
@@ -171,14 +171,15 @@
             batch.emplace_back(outcome.outcome);
         }
     }
-    const bool has_claims = std::ranges::any_of(writer.wants, [&](const queued_claim& want) {
-        const auto entry = writer.log.entries.find(want.claim.key);
-        return entry == writer.log.entries.end() || entry->second.end == claim_end::not_run;
-    });
+    const bool has_claims =
+        std::ranges::any_of(writer.queued_claims, [&](const queued_claim& want) {
+            const auto entry = writer.log.entries.find(want.claim.key);
+            return entry == writer.log.entries.end() || entry->second.end == claim_end::not_run;
+        });
     if (!has_claims && !writer.outcomes_due) {
         return {};
     }
-    for (const auto& want : writer.wants) {
+    for (const auto& want : writer.queued_claims) {
         const auto entry = writer.log.entries.find(want.claim.key);
         const bool is_free =
             entry == writer.log.entries.end() || entry->second.end == claim_end::not_run;
@@ -204,10 +205,10 @@
 
 void refuse_all_as_full(claim_log_writer& writer, writer_output& out)
 {
-    for (const auto& want : writer.wants) {
+    for (const auto& want : writer.queued_claims) {
         refuse(out, want, result_code::claim_store_full);
     }
-    writer.wants.clear();
+    writer.queued_claims.clear();
 }
 
 } // namespace
@@ -219,16 +220,17 @@
 
 void add_want(claim_log_writer& writer, queued_claim want, writer_output& out)
 {
-    const bool is_known = std::ranges::any_of(
-        writer.wants, [&](const queued_claim& other) { return other.claim.id == want.claim.id; });
+    const bool is_known = std::ranges::any_of(writer.queued_claims, [&](const queued_claim& other) {
+        return other.claim.id == want.claim.id;
+    });
     if (is_known) {
         return;
     }
-    if (writer.wants.size() >= max_queued_claims) {
+    if (writer.queued_claims.size() >= max_queued_claims) {
         refuse(out, want, result_code::claim_store_full);
         return;
     }
-    writer.wants.push_back(std::move(want));
+    writer.queued_claims.push_back(std::move(want));
 }
 
 void add_outcome(claim_log_writer& writer, pending_outcome outcome)
@@ -244,7 +246,7 @@
 void advance(claim_log_writer& writer, const live_lives& alive, monotonic_time now,
              writer_output& out)
 {
-    const bool has_work = !writer.wants.empty() || !writer.outcomes.empty();
+    const bool has_work = !writer.queued_claims.empty() || !writer.outcomes.empty();
     if (writer.stage == writer_stage::backing_off && has_work && now >= writer.retry_at) {
         start_read(writer, out);
     }
@@ -319,13 +321,13 @@
 void tick_writer(claim_log_writer& writer, monotonic_time now, writer_output& out)
 {
     writer.outcomes_due = !writer.outcomes.empty();
-    for (auto want = writer.wants.begin(); want != writer.wants.end();) {
+    for (auto want = writer.queued_claims.begin(); want != writer.queued_claims.end();) {
         if (now < want->deadline) {
             ++want;
             continue;
         }
         refuse(out, *want, result_code::claim_store_unavailable);
-        want = writer.wants.erase(want);
+        want = writer.queued_claims.erase(want);
     }
 }
 
--- a/source/claims/claim_lane.h
+++ b/source/claims/claim_lane.h
@@ -47,7 +47,7 @@
     claim_log_id id;
     claim_log log;
     writer_stage stage = writer_stage::backing_off;
-    std::deque<queued_claim> wants;
+    std::deque<queued_claim> queued_claims;
     std::deque<pending_outcome> outcomes;
     std::vector<log_record> batch; ///< the records of the write in flight
     store_call call = 0;           ///< the platform call in flight
--- a/source/claims/claim_reducer.cpp
+++ b/source/claims/claim_reducer.cpp
@@ -340,7 +340,7 @@
         const auto& writer = entry.second;
         const bool is_busy =
             writer.stage == writer_stage::reading || writer.stage == writer_stage::writing;
-        return !is_busy && writer.wants.empty() && writer.outcomes.empty() &&
+        return !is_busy && writer.queued_claims.empty() && writer.outcomes.empty() &&
                s.now - writer.last_used > writer_idle_timeout;
     });
     for (auto& [id, writer] : s.state.writers) {
--- a/unit_tests/claims/claim_world.cpp
+++ b/unit_tests/claims/claim_world.cpp
@@ -387,7 +387,7 @@
         boost::hash_combine(seed, h.state.own.size());
         for (const auto& [id, writer] : h.state.writers) {
             boost::hash_combine(seed, static_cast<int>(writer.stage));
-            boost::hash_combine(seed, writer.wants.size());
+            boost::hash_combine(seed, writer.queued_claims.size());
             boost::hash_combine(seed, writer.outcomes.size());
             boost::hash_combine(seed, writer.batch.size());
             boost::hash_combine(seed, writer.log.last.version.value_or(0));
