--- a/source/claims/claim_lane.cpp
+++ b/source/claims/claim_lane.cpp
@@ -9,9 +9,10 @@
 
 constexpr unsigned max_doublings = 6;
 
-void refuse(writer_output& out, const queued_claim& want, result_code code)
+void refuse(writer_output& out, const queued_claim& queued, result_code code)
 {
-    out.verdicts.push_back({want.reply_to, want.claim.id, want.claim.key, claim_refused{code}});
+    out.verdicts.push_back(
+        {queued.reply_to, queued.claim.id, queued.claim.key, claim_refused{code}});
 }
 
 void start_read(claim_log_writer& writer, writer_output& out)
@@ -31,8 +32,8 @@
 
 void mark_views_settled(claim_log_writer& writer)
 {
-    for (auto& want : writer.queued_claims) {
-        want.is_settled_view = true;
+    for (auto& queued : writer.queued_claims) {
+        queued.is_settled_view = true;
     }
 }
 
@@ -71,12 +72,12 @@
 }
 
 settlement settle_against(const claim_log_writer& writer, const claim_entry& entry,
-                          const queued_claim& want, const live_lives& alive)
+                          const queued_claim& queued, const live_lives& alive)
 {
-    if (entry.id == want.claim.id && !entry.end) {
+    if (entry.id == queued.claim.id && !entry.end) {
         return {next_step::answer, claim_granted{}};
     }
-    if (entry.digest != want.claim.digest) {
+    if (entry.digest != queued.claim.digest) {
         return {next_step::answer, claim_refused{result_code::key_reused}};
     }
     if (entry.end) {
@@ -85,7 +86,7 @@
     if (const auto* told = find_told_outcome(writer, entry.id)) {
         return {next_step::answer, verdict_for_ended({entry.id, 0, told->end, told->answer})};
     }
-    if (!want.is_settled_view) {
+    if (!queued.is_settled_view) {
         return {next_step::look_again, {}};
     }
     const auto code = is_running(entry, alive) ? result_code::claim_still_running
@@ -93,19 +94,20 @@
     return {next_step::answer, claim_refused{code}};
 }
 
-settlement settle(const claim_log_writer& writer, const queued_claim& want, const live_lives& alive)
+settlement settle(const claim_log_writer& writer, const queued_claim& queued,
+                  const live_lives& alive)
 {
     if (writer.log.expired) {
         return {next_step::answer, claim_refused{result_code::key_too_old}};
     }
-    if (writer.log.void_ids.contains(want.claim.id)) {
+    if (writer.log.void_ids.contains(queued.claim.id)) {
         return {next_step::answer, claim_refused{result_code::claim_store_unavailable}};
     }
-    const auto entry = writer.log.entries.find(want.claim.key);
+    const auto entry = writer.log.entries.find(queued.claim.key);
     if (entry == writer.log.entries.end() || entry->second.end == claim_end::not_run) {
         return {next_step::append, {}};
     }
-    return settle_against(writer, entry->second, want, alive);
+    return settle_against(writer, entry->second, queued, alive);
 }
 
 /// Answers the claims that need no write. Returns whether a remaining claim needs the log to be
@@ -113,15 +115,16 @@
 bool answer_settled(claim_log_writer& writer, const live_lives& alive, writer_output& out)
 {
     bool look_again = false;
-    for (auto want = writer.queued_claims.begin(); want != writer.queued_claims.end();) {
-        const auto settled = settle(writer, *want, alive);
+    for (auto queued = writer.queued_claims.begin(); queued != writer.queued_claims.end();) {
+        const auto settled = settle(writer, *queued, alive);
         look_again = look_again || settled.step == next_step::look_again;
         if (settled.step != next_step::answer) {
-            ++want;
+            ++queued;
             continue;
         }
-        out.verdicts.push_back({want->reply_to, want->claim.id, want->claim.key, settled.verdict});
-        want = writer.queued_claims.erase(want);
+        out.verdicts.push_back(
+            {queued->reply_to, queued->claim.id, queued->claim.key, settled.verdict});
+        queued = writer.queued_claims.erase(queued);
     }
     return look_again;
 }
@@ -172,20 +175,20 @@
         }
     }
     const bool has_claims =
-        std::ranges::any_of(writer.queued_claims, [&](const queued_claim& want) {
-            const auto entry = writer.log.entries.find(want.claim.key);
+        std::ranges::any_of(writer.queued_claims, [&](const queued_claim& queued) {
+            const auto entry = writer.log.entries.find(queued.claim.key);
             return entry == writer.log.entries.end() || entry->second.end == claim_end::not_run;
         });
     if (!has_claims && !writer.outcomes_due) {
         return {};
     }
-    for (const auto& want : writer.queued_claims) {
-        const auto entry = writer.log.entries.find(want.claim.key);
+    for (const auto& queued : writer.queued_claims) {
+        const auto entry = writer.log.entries.find(queued.claim.key);
         const bool is_free =
             entry == writer.log.entries.end() || entry->second.end == claim_end::not_run;
         // One claim per key and batch: a second one waits and is then answered from the log.
-        if (is_free && batch.size() < max_batch_records && keys.insert(want.claim.key).second) {
-            batch.emplace_back(want.claim);
+        if (is_free && batch.size() < max_batch_records && keys.insert(queued.claim.key).second) {
+            batch.emplace_back(queued.claim);
         }
     }
     return batch;
@@ -205,8 +208,8 @@
 
 void refuse_all_as_full(claim_log_writer& writer, writer_output& out)
 {
-    for (const auto& want : writer.queued_claims) {
-        refuse(out, want, result_code::claim_store_full);
+    for (const auto& queued : writer.queued_claims) {
+        refuse(out, queued, result_code::claim_store_full);
     }
     writer.queued_claims.clear();
 }
@@ -218,19 +221,19 @@
     return segment_key(writer.id.bucket, writer.id.slice, writer.log.last.index);
 }
 
-void add_want(claim_log_writer& writer, queued_claim want, writer_output& out)
+void add_want(claim_log_writer& writer, queued_claim queued, writer_output& out)
 {
     const bool is_known = std::ranges::any_of(writer.queued_claims, [&](const queued_claim& other) {
-        return other.claim.id == want.claim.id;
+        return other.claim.id == queued.claim.id;
     });
     if (is_known) {
         return;
     }
     if (writer.queued_claims.size() >= max_queued_claims) {
-        refuse(out, want, result_code::claim_store_full);
+        refuse(out, queued, result_code::claim_store_full);
         return;
     }
-    writer.queued_claims.push_back(std::move(want));
+    writer.queued_claims.push_back(std::move(queued));
 }
 
 void add_outcome(claim_log_writer& writer, pending_outcome outcome)
@@ -321,13 +324,13 @@
 void tick_writer(claim_log_writer& writer, monotonic_time now, writer_output& out)
 {
     writer.outcomes_due = !writer.outcomes.empty();
-    for (auto want = writer.queued_claims.begin(); want != writer.queued_claims.end();) {
-        if (now < want->deadline) {
-            ++want;
+    for (auto queued = writer.queued_claims.begin(); queued != writer.queued_claims.end();) {
+        if (now < queued->deadline) {
+            ++queued;
             continue;
         }
-        refuse(out, *want, result_code::claim_store_unavailable);
-        want = writer.queued_claims.erase(want);
+        refuse(out, *queued, result_code::claim_store_unavailable);
+        queued = writer.queued_claims.erase(queued);
     }
 }
 
