--- a/source/claims/claim_lane.cpp
+++ b/source/claims/claim_lane.cpp
@@ -221,7 +221,7 @@
     return segment_key(writer.id.bucket, writer.id.slice, writer.log.last.index);
 }
 
-void add_want(claim_log_writer& writer, queued_claim queued, writer_output& out)
+void enqueue_claim(claim_log_writer& writer, queued_claim queued, writer_output& out)
 {
     const bool is_known = std::ranges::any_of(writer.queued_claims, [&](const queued_claim& other) {
         return other.claim.id == queued.claim.id;
--- a/source/claims/claim_lane.h
+++ b/source/claims/claim_lane.h
@@ -85,7 +85,7 @@
     std::vector<outcome_ack> kept;
 };
 
-void add_want(claim_log_writer& writer, queued_claim queued, writer_output& out);
+void enqueue_claim(claim_log_writer& writer, queued_claim queued, writer_output& out);
 void add_outcome(claim_log_writer& writer, pending_outcome outcome);
 
 /// Answers what the local copy of the log allows and starts the next read or write if none is in
--- a/source/claims/claim_reducer.cpp
+++ b/source/claims/claim_reducer.cpp
@@ -39,7 +39,7 @@
 {
     auto& writer = writer_for(s, claim.key);
     writer_output output;
-    add_want(writer, {claim, reply_to, deadline, false}, output);
+    enqueue_claim(writer, {claim, reply_to, deadline, false}, output);
     run_writer(s, writer, std::move(output));
 }
 
