--- a/source/claims/claim_lane.cpp
+++ b/source/claims/claim_lane.cpp
@@ -66,7 +66,7 @@
 const outcome_record* find_told_outcome(const claim_log_writer& writer, const claim_id& id)
 {
     const auto found = std::ranges::find(writer.outcomes, id,
-                                         [](const pending_outcome& p) { return p.outcome.id; });
+                                         [](const queued_outcome& p) { return p.outcome.id; });
     const bool is_told = found != writer.outcomes.end() && found->outcome.end != claim_end::not_run;
     return is_told ? &found->outcome : nullptr;
 }
@@ -132,7 +132,7 @@
 /// Acknowledges outcomes that are already in the log or can no longer affect it.
 void answer_kept_outcomes(claim_log_writer& writer, writer_output& out)
 {
-    const auto is_kept = [&](const pending_outcome& p) {
+    const auto is_kept = [&](const queued_outcome& p) {
         const auto entry = writer.log.entries.find(p.outcome.key);
         const bool is_recorded = entry != writer.log.entries.end() &&
                                  entry->second.id == p.outcome.id && entry->second.end.has_value();
@@ -157,7 +157,7 @@
             continue;
         }
         const auto pending = std::ranges::find(
-            writer.outcomes, written->id, [](const pending_outcome& p) { return p.outcome.id; });
+            writer.outcomes, written->id, [](const queued_outcome& p) { return p.outcome.id; });
         if (pending != writer.outcomes.end()) {
             out.kept.push_back({pending->reply_to, written->id});
             writer.outcomes.erase(pending);
@@ -236,9 +236,9 @@
     writer.queued_claims.push_back(std::move(queued));
 }
 
-void add_outcome(claim_log_writer& writer, pending_outcome outcome)
+void add_outcome(claim_log_writer& writer, queued_outcome outcome)
 {
-    const bool is_known = std::ranges::any_of(writer.outcomes, [&](const pending_outcome& other) {
+    const bool is_known = std::ranges::any_of(writer.outcomes, [&](const queued_outcome& other) {
         return other.outcome.id == outcome.outcome.id;
     });
     if (!is_known) {
--- a/source/claims/claim_lane.h
+++ b/source/claims/claim_lane.h
@@ -31,7 +31,7 @@
 };
 
 /// An outcome that is waiting to become durable.
-struct pending_outcome {
+struct queued_outcome {
     outcome_record outcome;
     host_id reply_to;
 };
@@ -48,7 +48,7 @@
     claim_log log;
     writer_stage stage = writer_stage::backing_off;
     std::deque<queued_claim> queued_claims;
-    std::deque<pending_outcome> outcomes;
+    std::deque<queued_outcome> outcomes;
     std::vector<log_record> batch; ///< the records of the write in flight
     store_call call = 0;           ///< the platform call in flight
     std::size_t batch_bytes = 0;
@@ -86,7 +86,7 @@
 };
 
 void enqueue_claim(claim_log_writer& writer, queued_claim queued, writer_output& out);
-void add_outcome(claim_log_writer& writer, pending_outcome outcome);
+void add_outcome(claim_log_writer& writer, queued_outcome outcome);
 
 /// Answers what the local copy of the log allows and starts the next read or write if none is in
 /// flight. `alive` are the hosts whose claims may still be running.
