--- a/source/claims/claim_lane.cpp
+++ b/source/claims/claim_lane.cpp
@@ -236,7 +236,7 @@
     writer.queued_claims.push_back(std::move(queued));
 }
 
-void add_outcome(claim_log_writer& writer, queued_outcome outcome)
+void enqueue_outcome(claim_log_writer& writer, queued_outcome outcome)
 {
     const bool is_known = std::ranges::any_of(writer.outcomes, [&](const queued_outcome& other) {
         return other.outcome.id == outcome.outcome.id;
--- a/source/claims/claim_lane.h
+++ b/source/claims/claim_lane.h
@@ -86,7 +86,7 @@
 };
 
 void enqueue_claim(claim_log_writer& writer, queued_claim queued, writer_output& out);
-void add_outcome(claim_log_writer& writer, queued_outcome outcome);
+void enqueue_outcome(claim_log_writer& writer, queued_outcome outcome);
 
 /// Answers what the local copy of the log allows and starts the next read or write if none is in
 /// flight. `alive` are the hosts whose claims may still be running.
--- a/source/claims/claim_reducer.cpp
+++ b/source/claims/claim_reducer.cpp
@@ -46,7 +46,7 @@
 void enqueue(step& s, const outcome_record& outcome, const host_id& reply_to)
 {
     auto& writer = writer_for(s, outcome.key);
-    add_outcome(writer, {outcome, reply_to});
+    enqueue_outcome(writer, {outcome, reply_to});
     run_writer(s, writer, {});
 }
 
