--- a/source/claims/claim_lane.cpp
+++ b/source/claims/claim_lane.cpp
@@ -33,7 +33,7 @@
 void mark_views_settled(claim_log_writer& writer)
 {
     for (auto& queued : writer.queued_claims) {
-        queued.is_settled_view = true;
+        queued.is_log_refreshed = true;
     }
 }
 
@@ -86,7 +86,7 @@
     if (const auto* told = find_told_outcome(writer, entry.id)) {
         return {next_step::answer, verdict_for_ended({entry.id, 0, told->end, told->answer})};
     }
-    if (!queued.is_settled_view) {
+    if (!queued.is_log_refreshed) {
         return {next_step::look_again, {}};
     }
     const auto code = is_running(entry, alive) ? result_code::claim_still_running
--- a/source/claims/claim_lane.h
+++ b/source/claims/claim_lane.h
@@ -27,7 +27,7 @@
     claim_record claim;
     host_id reply_to;
     monotonic_time deadline{};
-    bool is_settled_view = false; ///< the log has been read or written since the claim arrived
+    bool is_log_refreshed = false; ///< the log has been read or written since the claim arrived
 };
 
 /// An outcome that is waiting to become durable.
