--- a/source/claims/claim_lane.cpp
+++ b/source/claims/claim_lane.cpp
@@ -30,7 +30,7 @@
     writer.retry_at = now + std::min(doubled, max_retry_delay);
 }
 
-void mark_views_settled(claim_log_writer& writer)
+void mark_log_refreshed(claim_log_writer& writer)
 {
     for (auto& queued : writer.queued_claims) {
         queued.is_log_refreshed = true;
@@ -289,7 +289,7 @@
         return;
     }
     writer.stage = writer_stage::ready;
-    mark_views_settled(writer);
+    mark_log_refreshed(writer);
 }
 
 void handle_write(claim_log_writer& writer, const result<object_version>& version,
@@ -314,7 +314,7 @@
     answer_written_outcomes(writer, out);
     writer.batch.clear();
     writer.stage = writer_stage::ready;
-    mark_views_settled(writer);
+    mark_log_refreshed(writer);
     if (is_full) {
         start_next_segment(writer.log);
         start_read(writer, out);
