--- a/source/claims/claim_lane.cpp
+++ b/source/claims/claim_lane.cpp
@@ -63,7 +63,7 @@
 
 /// An outcome that the claim's host has reported but that is not durable yet. `ran` and `unknown`
 /// can be used before they are durable; `not_run` must be durable before it frees the key.
-const outcome_record* find_told_outcome(const claim_log_writer& writer, const claim_id& id)
+const outcome_record* find_reported_outcome(const claim_log_writer& writer, const claim_id& id)
 {
     const auto found = std::ranges::find(writer.outcomes, id,
                                          [](const queued_outcome& p) { return p.outcome.id; });
@@ -83,7 +83,7 @@
     if (entry.end) {
         return {next_step::answer, verdict_for_ended(entry)};
     }
-    if (const auto* told = find_told_outcome(writer, entry.id)) {
+    if (const auto* told = find_reported_outcome(writer, entry.id)) {
         return {next_step::answer, verdict_for_ended({entry.id, 0, told->end, told->answer})};
     }
     if (!queued.is_log_refreshed) {
