--- a/source/claims/claim_lane.cpp
+++ b/source/claims/claim_lane.cpp
@@ -54,7 +54,7 @@
     return claim_replayed{entry.answer};
 }
 
-enum class next_step { append, answer, look_again };
+enum class next_step { append, answer, read_again };
 
 struct settlement {
     next_step step = next_step::append;
@@ -87,7 +87,7 @@
         return {next_step::answer, verdict_for_ended({entry.id, 0, told->end, told->answer})};
     }
     if (!queued.is_log_refreshed) {
-        return {next_step::look_again, {}};
+        return {next_step::read_again, {}};
     }
     const auto code = is_running(entry, alive) ? result_code::claim_still_running
                                                : result_code::claim_outcome_unknown;
@@ -114,10 +114,10 @@
 /// read again.
 bool answer_settled(claim_log_writer& writer, const live_lives& alive, writer_output& out)
 {
-    bool look_again = false;
+    bool read_again = false;
     for (auto queued = writer.queued_claims.begin(); queued != writer.queued_claims.end();) {
         const auto settled = settle(writer, *queued, alive);
-        look_again = look_again || settled.step == next_step::look_again;
+        read_again = read_again || settled.step == next_step::read_again;
         if (settled.step != next_step::answer) {
             ++queued;
             continue;
@@ -126,7 +126,7 @@
             {queued->reply_to, queued->claim.id, queued->claim.key, settled.verdict});
         queued = writer.queued_claims.erase(queued);
     }
-    return look_again;
+    return read_again;
 }
 
 /// Acknowledges outcomes that are already in the log or can no longer affect it.
@@ -256,7 +256,7 @@
     if (writer.stage != writer_stage::ready) {
         return;
     }
-    const bool look_again = answer_settled(writer, alive, out);
+    const bool read_again = answer_settled(writer, alive, out);
     answer_kept_outcomes(writer, out);
     if (writer.log.last.index >= max_segments) {
         refuse_all_as_full(writer, out);
@@ -265,7 +265,7 @@
     auto batch = make_batch(writer);
     if (!batch.empty()) {
         start_write(writer, std::move(batch), out);
-    } else if (look_again) {
+    } else if (read_again) {
         start_read(writer, out);
     }
 }
