--- a/source/claims/claim_lane.cpp
+++ b/source/claims/claim_lane.cpp
@@ -56,7 +56,7 @@
 
 enum class next_step { append, answer, read_again };
 
-struct settlement {
+struct resolution {
     next_step step = next_step::append;
     claim_verdict verdict;
 };
@@ -71,7 +71,7 @@
     return is_told ? &found->outcome : nullptr;
 }
 
-settlement settle_against(const claim_log_writer& writer, const claim_entry& entry,
+resolution settle_against(const claim_log_writer& writer, const claim_entry& entry,
                           const queued_claim& queued, const live_lives& alive)
 {
     if (entry.id == queued.claim.id && !entry.end) {
@@ -94,7 +94,7 @@
     return {next_step::answer, claim_refused{code}};
 }
 
-settlement settle(const claim_log_writer& writer, const queued_claim& queued,
+resolution settle(const claim_log_writer& writer, const queued_claim& queued,
                   const live_lives& alive)
 {
     if (writer.log.expired) {
