--- a/source/claims/claim_lane.cpp
+++ b/source/claims/claim_lane.cpp
@@ -94,8 +94,8 @@
     return {next_step::answer, claim_refused{code}};
 }
 
-resolution settle(const claim_log_writer& writer, const queued_claim& queued,
-                  const live_lives& alive)
+resolution resolve(const claim_log_writer& writer, const queued_claim& queued,
+                   const live_lives& alive)
 {
     if (writer.log.expired) {
         return {next_step::answer, claim_refused{result_code::key_too_old}};
@@ -116,7 +116,7 @@
 {
     bool read_again = false;
     for (auto queued = writer.queued_claims.begin(); queued != writer.queued_claims.end();) {
-        const auto settled = settle(writer, *queued, alive);
+        const auto settled = resolve(writer, *queued, alive);
         read_again = read_again || settled.step == next_step::read_again;
         if (settled.step != next_step::answer) {
             ++queued;
