--- a/source/claims/claim_lane.cpp
+++ b/source/claims/claim_lane.cpp
@@ -71,8 +71,8 @@
     return is_told ? &found->outcome : nullptr;
 }
 
-resolution settle_against(const claim_log_writer& writer, const claim_entry& entry,
-                          const queued_claim& queued, const live_lives& alive)
+resolution resolve_against(const claim_log_writer& writer, const claim_entry& entry,
+                           const queued_claim& queued, const live_lives& alive)
 {
     if (entry.id == queued.claim.id && !entry.end) {
         return {next_step::answer, claim_granted{}};
@@ -107,7 +107,7 @@
     if (entry == writer.log.entries.end() || entry->second.end == claim_end::not_run) {
         return {next_step::append, {}};
     }
-    return settle_against(writer, entry->second, queued, alive);
+    return resolve_against(writer, entry->second, queued, alive);
 }
 
 /// Answers the claims that need no write. Returns whether a remaining claim needs the log to be
