--- a/source/claims/claim_lane.cpp
+++ b/source/claims/claim_lane.cpp
@@ -112,7 +112,7 @@
 
 /// Answers the claims that need no write. Returns whether a remaining claim needs the log to be
 /// read again.
-bool answer_settled(claim_log_writer& writer, const live_lives& alive, writer_output& out)
+bool answer_resolved(claim_log_writer& writer, const live_lives& alive, writer_output& out)
 {
     bool read_again = false;
     for (auto queued = writer.queued_claims.begin(); queued != writer.queued_claims.end();) {
@@ -256,7 +256,7 @@
     if (writer.stage != writer_stage::ready) {
         return;
     }
-    const bool read_again = answer_settled(writer, alive, out);
+    const bool read_again = answer_resolved(writer, alive, out);
     answer_kept_outcomes(writer, out);
     if (writer.log.last.index >= max_segments) {
         refuse_all_as_full(writer, out);
