--- a/source/claims/claim_lane.cpp
+++ b/source/claims/claim_lane.cpp
@@ -116,14 +116,14 @@
 {
     bool read_again = false;
     for (auto queued = writer.queued_claims.begin(); queued != writer.queued_claims.end();) {
-        const auto settled = resolve(writer, *queued, alive);
-        read_again = read_again || settled.step == next_step::read_again;
-        if (settled.step != next_step::answer) {
+        const auto resolved = resolve(writer, *queued, alive);
+        read_again = read_again || resolved.step == next_step::read_again;
+        if (resolved.step != next_step::answer) {
             ++queued;
             continue;
         }
         out.verdicts.push_back(
-            {queued->reply_to, queued->claim.id, queued->claim.key, settled.verdict});
+            {queued->reply_to, queued->claim.id, queued->claim.key, resolved.verdict});
         queued = writer.queued_claims.erase(queued);
     }
     return read_again;
