--- a/source/claims/claim_lane.cpp
+++ b/source/claims/claim_lane.cpp
@@ -100,7 +100,7 @@
     if (writer.log.expired) {
         return {next_step::answer, claim_refused{result_code::key_too_old}};
     }
-    if (writer.log.void_ids.contains(queued.claim.id)) {
+    if (writer.log.revoked_ids.contains(queued.claim.id)) {
         return {next_step::answer, claim_refused{result_code::claim_store_unavailable}};
     }
     const auto entry = writer.log.entries.find(queued.claim.key);
@@ -136,7 +136,7 @@
         const auto entry = writer.log.entries.find(p.outcome.key);
         const bool is_recorded = entry != writer.log.entries.end() &&
                                  entry->second.id == p.outcome.id && entry->second.end.has_value();
-        return writer.log.expired || is_recorded || writer.log.void_ids.contains(p.outcome.id);
+        return writer.log.expired || is_recorded || writer.log.revoked_ids.contains(p.outcome.id);
     };
     for (auto outcome = writer.outcomes.begin(); outcome != writer.outcomes.end();) {
         if (!is_kept(*outcome)) {
--- a/source/claims/claim_log.cpp
+++ b/source/claims/claim_log.cpp
@@ -6,7 +6,7 @@
 
 void apply_claim(claim_log& log, const claim_record& r)
 {
-    if (log.void_ids.contains(r.id)) {
+    if (log.revoked_ids.contains(r.id)) {
         return;
     }
     const auto found = log.entries.find(r.key);
@@ -19,7 +19,7 @@
 void apply_outcome(claim_log& log, const outcome_record& r)
 {
     if (r.end == claim_end::not_run) {
-        log.void_ids.insert(r.id);
+        log.revoked_ids.insert(r.id);
     }
     const auto found = log.entries.find(r.key);
     const bool is_first =
--- a/source/claims/claim_log.h
+++ b/source/claims/claim_log.h
@@ -29,7 +29,8 @@
 
 struct claim_log {
     std::map<claim_key, claim_entry> entries;
-    std::set<claim_id> void_ids; ///< claims recorded as not run, which can never be granted again
+    std::set<claim_id>
+        revoked_ids; ///< claims recorded as not run, which can never be granted again
     last_segment last;
     bool expired = false; ///< overwritten by a later slice, or unreadable
 };
--- a/unit_tests/claims/claim_world.cpp
+++ b/unit_tests/claims/claim_world.cpp
@@ -391,7 +391,7 @@
             boost::hash_combine(seed, writer.outcomes.size());
             boost::hash_combine(seed, writer.batch.size());
             boost::hash_combine(seed, writer.log.last.version.value_or(0));
-            boost::hash_combine(seed, writer.log.void_ids.size());
+            boost::hash_combine(seed, writer.log.revoked_ids.size());
         }
     }
     for (const auto& [key, object] : m.objects) {
