--- a/source/claims/claim_lane.cpp
+++ b/source/claims/claim_lane.cpp
@@ -37,7 +37,7 @@
     }
 }
 
-bool is_running(const claim_entry& entry, const live_lives& alive)
+bool is_running(const claim_entry& entry, const host_incarnations& alive)
 {
     const auto holder = alive.find(entry.id.host);
     return holder != alive.end() && holder->second == entry.id.life;
@@ -72,7 +72,7 @@
 }
 
 resolution resolve_against(const claim_log_writer& writer, const claim_entry& entry,
-                           const queued_claim& queued, const live_lives& alive)
+                           const queued_claim& queued, const host_incarnations& alive)
 {
     if (entry.id == queued.claim.id && !entry.end) {
         return {next_step::answer, claim_granted{}};
@@ -95,7 +95,7 @@
 }
 
 resolution resolve(const claim_log_writer& writer, const queued_claim& queued,
-                   const live_lives& alive)
+                   const host_incarnations& alive)
 {
     if (writer.log.expired) {
         return {next_step::answer, claim_refused{result_code::key_too_old}};
@@ -112,7 +112,7 @@
 
 /// Answers the claims that need no write. Returns whether a remaining claim needs the log to be
 /// read again.
-bool answer_resolved(claim_log_writer& writer, const live_lives& alive, writer_output& out)
+bool answer_resolved(claim_log_writer& writer, const host_incarnations& alive, writer_output& out)
 {
     bool read_again = false;
     for (auto queued = writer.queued_claims.begin(); queued != writer.queued_claims.end();) {
@@ -246,7 +246,7 @@
     }
 }
 
-void advance(claim_log_writer& writer, const live_lives& alive, monotonic_time now,
+void advance(claim_log_writer& writer, const host_incarnations& alive, monotonic_time now,
              writer_output& out)
 {
     const bool has_work = !writer.queued_claims.empty() || !writer.outcomes.empty();
--- a/source/claims/claim_lane.h
+++ b/source/claims/claim_lane.h
@@ -13,7 +13,7 @@
 namespace almondquay {
 
 /// The current incarnation of each live host.
-using live_lives = std::map<host_id, incarnation>;
+using host_incarnations = std::map<host_id, incarnation>;
 
 struct claim_log_id {
     bucket_number bucket;
@@ -90,7 +90,7 @@
 
 /// Answers what the local copy of the log allows and starts the next read or write if none is in
 /// flight. `alive` are the hosts whose claims may still be running.
-void advance(claim_log_writer& writer, const live_lives& alive, monotonic_time now,
+void advance(claim_log_writer& writer, const host_incarnations& alive, monotonic_time now,
              writer_output& out);
 
 void handle_read(claim_log_writer& writer, const result<stored_object>& object, monotonic_time now,
--- a/source/claims/claim_reducer.cpp
+++ b/source/claims/claim_reducer.cpp
@@ -359,7 +359,7 @@
 
 } // namespace
 
-host_id owner_of(bucket_number bucket, const live_lives& hosts)
+host_id owner_of(bucket_number bucket, const host_incarnations& hosts)
 {
     host_id owner;
     std::uint64_t best = 0;
--- a/source/claims/claim_reducer.h
+++ b/source/claims/claim_reducer.h
@@ -21,8 +21,8 @@
 struct claim_world {
     host_id self;
     incarnation life;
-    live_lives alive;  ///< hosts whose claims may still be running, this one included
-    live_lives owners; ///< those of them that are not leaving
+    host_incarnations alive;  ///< hosts whose claims may still be running, this one included
+    host_incarnations owners; ///< those of them that are not leaving
 };
 
 struct waiting_claim {
@@ -74,6 +74,6 @@
                             monotonic_time now, wall_time wall);
 
 /// The bucket's owner among `hosts`, by rendezvous hashing; empty if there is none.
-host_id owner_of(bucket_number bucket, const live_lives& hosts);
+host_id owner_of(bucket_number bucket, const host_incarnations& hosts);
 
 } // namespace almondquay
