--- a/source/almondquayd/daemon.cpp
+++ b/source/almondquayd/daemon.cpp
@@ -280,7 +280,7 @@
             emit(crash_evidence_event{std::move(evidence), false});
         },
         [emit](request_fingerprint fingerprint) { emit(request_cleared_event{fingerprint}); },
-        [emit](claim_wanted_event wanted) { emit(claim_event{wanted}); },
+        [emit](claim_requested_event wanted) { emit(claim_event{wanted}); },
         [emit](claim_finished_event finished) { emit(claim_event{std::move(finished)}); }};
     auto traffic = traffic_server::create(settings, *d.metrics, events);
     if (!succeeded(traffic)) {
--- a/source/claims/claim_effect.h
+++ b/source/claims/claim_effect.h
@@ -52,7 +52,7 @@
 using claim_effects = std::vector<claim_effect>;
 
 /// A non-repeatable request has arrived at this host.
-struct claim_wanted_event {
+struct claim_requested_event {
     std::uint64_t request = 0; ///< the request's id on the traffic thread
     claim_key key{};
     std::uint64_t digest = 0;
@@ -82,7 +82,7 @@
 
 struct claim_tick_event {};
 
-using claim_event = std::variant<claim_wanted_event, claim_finished_event, claim_read_event,
+using claim_event = std::variant<claim_requested_event, claim_finished_event, claim_read_event,
                                  claim_written_event, claim_message_event, claim_tick_event>;
 
 } // namespace almondquay
--- a/source/claims/claim_reducer.cpp
+++ b/source/claims/claim_reducer.cpp
@@ -214,7 +214,7 @@
     send(s, owner, want_message{w.claim, left});
 }
 
-void take(step& s, const claim_wanted_event& e)
+void take(step& s, const claim_requested_event& e)
 {
     const claim_record claim{e.key, {s.world.self, s.world.life, s.state.next_number++}, e.digest};
     const auto refuse = [&](const claim_verdict& verdict) {
--- a/unit_tests/claims/claim_world.cpp
+++ b/unit_tests/claims/claim_world.cpp
@@ -436,7 +436,7 @@
                   unsigned tries_left)
 {
     m.requests[request] = {key, false, false, false};
-    const claim_wanted_event wanted{request, key, 7, to_monotonic(m.now + request_deadline)};
+    const claim_requested_event wanted{request, key, 7, to_monotonic(m.now + request_deadline)};
     deliver(m, host, m.hosts[host].life, wanted);
     if (tries_left == 0) {
         return;
