--- a/source/claims/claim_message.cpp
+++ b/source/claims/claim_message.cpp
@@ -75,7 +75,7 @@
     return claim_refused{static_cast<result_code>(value.at("code").get<int>())};
 }
 
-json body_json(const want_message& m)
+json body_json(const claim_request_message& m)
 {
     return {{"kind", "want"},
             {"key", text_of(m.claim.key)},
@@ -123,9 +123,9 @@
     const auto kind = body.at("kind").get<std::string>();
     const auto id = id_from(body.at("id"));
     if (kind == "want") {
-        message.body =
-            want_message{{key_from(body.at("key")), id, body.at("digest").get<std::uint64_t>()},
-                         std::chrono::milliseconds(body.at("time_left_ms").get<std::int64_t>())};
+        message.body = claim_request_message{
+            {key_from(body.at("key")), id, body.at("digest").get<std::uint64_t>()},
+            std::chrono::milliseconds(body.at("time_left_ms").get<std::int64_t>())};
     } else if (kind == "verdict") {
         message.body =
             verdict_message{id, key_from(body.at("key")), verdict_from(body.at("verdict"))};
--- a/source/claims/claim_message.h
+++ b/source/claims/claim_message.h
@@ -34,11 +34,11 @@
 using claim_verdict = std::variant<claim_granted, claim_replayed, claim_refused>;
 
 /// To a bucket's owner: request to make this claim durable.
-struct want_message {
+struct claim_request_message {
     claim_record claim;
     std::chrono::milliseconds time_left{0};
 
-    bool operator==(const want_message&) const = default;
+    bool operator==(const claim_request_message&) const = default;
 };
 
 /// From a bucket's owner: the decision on a claim.
@@ -66,7 +66,8 @@
 
 struct claim_message {
     host_id from;
-    std::variant<want_message, verdict_message, outcome_message, outcome_kept_message> body;
+    std::variant<claim_request_message, verdict_message, outcome_message, outcome_kept_message>
+        body;
 
     bool operator==(const claim_message&) const = default;
 };
--- a/source/claims/claim_reducer.cpp
+++ b/source/claims/claim_reducer.cpp
@@ -211,7 +211,7 @@
         return;
     }
     const auto left = std::chrono::duration_cast<std::chrono::milliseconds>(w.deadline - s.now);
-    send(s, owner, want_message{w.claim, left});
+    send(s, owner, claim_request_message{w.claim, left});
 }
 
 void take(step& s, const claim_requested_event& e)
@@ -284,7 +284,7 @@
 {
     const auto& from = e.message.from;
     std::visit(overloaded{
-                   [&](const want_message& m) {
+                   [&](const claim_request_message& m) {
                        const auto left =
                            std::clamp(m.time_left, std::chrono::milliseconds{0}, claim_patience);
                        enqueue(s, m.claim, from, s.now + left);
--- a/unit_tests/claims/claim_log_test.cpp
+++ b/unit_tests/claims/claim_log_test.cpp
@@ -121,7 +121,7 @@
         const claim_answer answer{201, "text/plain", std::string("\0\xff{", 3), true};
         const std::vector<claim_message> messages{
             {host_id("a"),
-             want_message{{sample_key(), sample_id(1), 5}, std::chrono::milliseconds(70)}},
+             claim_request_message{{sample_key(), sample_id(1), 5}, std::chrono::milliseconds(70)}},
             {host_id("a"), verdict_message{sample_id(1), sample_key(), claim_granted{}}},
             {host_id("a"), verdict_message{sample_id(1), sample_key(), claim_replayed{answer}}},
             {host_id("a"),
