--- a/source/claims/claim_message.cpp
+++ b/source/claims/claim_message.cpp
@@ -101,7 +101,7 @@
             {"answer", answer_json(m.outcome.answer)}};
 }
 
-json body_json(const outcome_kept_message& m)
+json body_json(const outcome_ack_message& m)
 {
     return {{"kind", "outcome_kept"}, {"id", id_json(m.id)}};
 }
@@ -133,7 +133,7 @@
         message.body = outcome_message{{key_from(body.at("key")), id, end_from(body.at("end")),
                                         answer_from(body.at("answer"))}};
     } else {
-        message.body = outcome_kept_message{id};
+        message.body = outcome_ack_message{id};
     }
     return message;
 }
--- a/source/claims/claim_message.h
+++ b/source/claims/claim_message.h
@@ -58,16 +58,15 @@
 };
 
 /// From a bucket's owner: acknowledges that the outcome is durable.
-struct outcome_kept_message {
+struct outcome_ack_message {
     claim_id id;
 
-    bool operator==(const outcome_kept_message&) const = default;
+    bool operator==(const outcome_ack_message&) const = default;
 };
 
 struct claim_message {
     host_id from;
-    std::variant<claim_request_message, verdict_message, outcome_message, outcome_kept_message>
-        body;
+    std::variant<claim_request_message, verdict_message, outcome_message, outcome_ack_message> body;
 
     bool operator==(const claim_message&) const = default;
 };
--- a/source/claims/claim_reducer.cpp
+++ b/source/claims/claim_reducer.cpp
@@ -163,7 +163,7 @@
         if (kept.to == s.world.self) {
             take_kept(s, kept.id);
         } else {
-            send(s, kept.to, outcome_kept_message{kept.id});
+            send(s, kept.to, outcome_ack_message{kept.id});
         }
     }
     for (const auto& v : output.verdicts) {
@@ -291,7 +291,7 @@
                    },
                    [&](const verdict_message& m) { take_verdict(s, m.id, m.key, m.verdict); },
                    [&](const outcome_message& m) { enqueue(s, m.outcome, from); },
-                   [&](const outcome_kept_message& m) { take_kept(s, m.id); },
+                   [&](const outcome_ack_message& m) { take_kept(s, m.id); },
                },
                e.message.body);
 }
--- a/unit_tests/claims/claim_log_test.cpp
+++ b/unit_tests/claims/claim_log_test.cpp
@@ -127,7 +127,7 @@
             {host_id("a"),
              verdict_message{sample_id(1), sample_key(), claim_refused{result_code::key_reused}}},
             {host_id("a"), outcome_message{{sample_key(), sample_id(1), claim_end::ran, answer}}},
-            {host_id("a"), outcome_kept_message{sample_id(1)}}};
+            {host_id("a"), outcome_ack_message{sample_id(1)}}};
         for (const auto& message : messages) {
             CPPUNIT_ASSERT(value_of(decode_claim_message(encode(message))) == message);
         }
@@ -140,8 +140,7 @@
             encode(log_segment{slice_number(9),
                                {claim_record{sample_key(), sample_id(1), 5},
                                 outcome_record{sample_key(), sample_id(1), claim_end::ran, {}}}});
-        const auto message =
-            encode(claim_message{host_id("a"), outcome_kept_message{sample_id(1)}});
+        const auto message = encode(claim_message{host_id("a"), outcome_ack_message{sample_id(1)}});
         for (int i = 0; i < 20'000; ++i) {
             auto bytes = i % 2 == 0 ? good : message;
             const auto changes = 1 + random() % 4;
