--- a/source/claims/claim_reducer.cpp
+++ b/source/claims/claim_reducer.cpp
@@ -13,7 +13,7 @@
 /// The context of one reducer call.
 struct step {
     claim_state& state;
-    const claim_world& world;
+    const claim_membership& world;
     monotonic_time now;
     wall_time wall;
     claim_effects out;
@@ -373,7 +373,7 @@
     return owner;
 }
 
-claim_effects reduce_claims(claim_state& state, const claim_world& world, const claim_event& e,
+claim_effects reduce_claims(claim_state& state, const claim_membership& world, const claim_event& e,
                             monotonic_time now, wall_time wall)
 {
     step s{state, world, now, wall, {}};
--- a/source/claims/claim_reducer.h
+++ b/source/claims/claim_reducer.h
@@ -18,7 +18,7 @@
 namespace almondquay {
 
 /// This host's identity and its view of the live hosts.
-struct claim_world {
+struct claim_membership {
     host_id self;
     incarnation life;
     host_incarnations alive;  ///< hosts whose claims may still be running, this one included
@@ -70,7 +70,7 @@
 constexpr std::chrono::seconds writer_idle_timeout{120};
 
 /// Applies one event to the state and returns the resulting effects.
-claim_effects reduce_claims(claim_state& state, const claim_world& world, const claim_event& e,
+claim_effects reduce_claims(claim_state& state, const claim_membership& world, const claim_event& e,
                             monotonic_time now, wall_time wall);
 
 /// The bucket's owner among `hosts`, by rendezvous hashing; empty if there is none.
--- a/source/control/claim_bridge.cpp
+++ b/source/control/claim_bridge.cpp
@@ -31,7 +31,7 @@
 
 void renew_claim_view(control_state& state)
 {
-    claim_world world{state.self.host, state.self.life, {}, {}};
+    claim_membership world{state.self.host, state.self.life, {}, {}};
     world.alive[state.self.host] = state.self.life;
     for (const auto& [id, m] : state.membership.members) {
         if (m.alive) {
--- a/source/control/state.h
+++ b/source/control/state.h
@@ -199,7 +199,7 @@
     std::map<request_fingerprint, suspect> suspects;
     std::map<request_fingerprint, quarantined_request> quarantined;
     claim_state claims;
-    claim_world claim_view; ///< live hosts for the claim reducer; updated with each snapshot
+    claim_membership claim_view; ///< live hosts for the claim reducer; updated with each snapshot
     life_stage stage = life_stage::starting;
     monotonic_time started{};        ///< time of the first event
     monotonic_time now{};            ///< time of the event being reduced
--- a/unit_tests/claims/claim_world.cpp
+++ b/unit_tests/claims/claim_world.cpp
@@ -34,7 +34,7 @@
 
 struct model_host {
     claim_state state;
-    claim_world view;
+    claim_membership view;
     milliseconds paused_until{};
     milliseconds cut_until{};
     std::uint64_t life = 1;
