--- a/source/claims/claim_reducer.cpp
+++ b/source/claims/claim_reducer.cpp
@@ -13,7 +13,7 @@
 /// The context of one reducer call.
 struct step {
     claim_state& state;
-    const claim_membership& world;
+    const claim_membership& membership;
     monotonic_time now;
     wall_time wall;
     claim_effects out;
@@ -21,7 +21,7 @@
 
 void send(step& s, const host_id& to, decltype(claim_message::body) body)
 {
-    s.out.emplace_back(claim_message_effect{to, {s.world.self, std::move(body)}});
+    s.out.emplace_back(claim_message_effect{to, {s.membership.self, std::move(body)}});
 }
 
 void run_writer(step& s, claim_log_writer& writer, writer_output output);
@@ -53,9 +53,9 @@
 void send_outcome(step& s, unsaved_outcome& unsaved)
 {
     unsaved.next_send = s.now + outcome_resend_interval;
-    const auto owner = owner_of(bucket_of(unsaved.outcome.key), s.world.owners);
-    if (owner == s.world.self || owner.value.empty()) {
-        enqueue(s, outcome_record(unsaved.outcome), s.world.self);
+    const auto owner = owner_of(bucket_of(unsaved.outcome.key), s.membership.owners);
+    if (owner == s.membership.self || owner.value.empty()) {
+        enqueue(s, outcome_record(unsaved.outcome), s.membership.self);
     } else {
         send(s, owner, outcome_message{unsaved.outcome});
     }
@@ -133,7 +133,7 @@
 
 void take_verdict(step& s, const claim_id& id, const claim_key& key, const claim_verdict& verdict)
 {
-    if (id.host != s.world.self || id.life != s.world.life) {
+    if (id.host != s.membership.self || id.life != s.membership.life) {
         return;
     }
     const auto found = s.state.waiting.find(id.number);
@@ -148,7 +148,7 @@
 
 void take_kept(step& s, const claim_id& id)
 {
-    if (id.host == s.world.self && id.life == s.world.life) {
+    if (id.host == s.membership.self && id.life == s.membership.life) {
         s.state.unsaved.erase(id.number);
     }
 }
@@ -157,17 +157,17 @@
 void run_writer(step& s, claim_log_writer& writer, writer_output output)
 {
     output.next_call = &s.state.next_call;
-    advance(writer, s.world.alive, s.now, output);
+    advance(writer, s.membership.alive, s.now, output);
     std::ranges::move(output.store, std::back_inserter(s.out));
     for (const auto& kept : output.kept) {
-        if (kept.to == s.world.self) {
+        if (kept.to == s.membership.self) {
             take_kept(s, kept.id);
         } else {
             send(s, kept.to, outcome_ack_message{kept.id});
         }
     }
     for (const auto& v : output.verdicts) {
-        if (v.to == s.world.self) {
+        if (v.to == s.membership.self) {
             take_verdict(s, v.id, v.key, v.verdict);
         } else {
             send(s, v.to, verdict_message{v.id, v.key, v.verdict});
@@ -204,10 +204,10 @@
 
 void ask_owner(step& s, waiting_claim& w)
 {
-    const auto owner = owner_of(bucket_of(w.claim.key), s.world.owners);
-    w.is_direct = owner == s.world.self || owner.value.empty();
+    const auto owner = owner_of(bucket_of(w.claim.key), s.membership.owners);
+    w.is_direct = owner == s.membership.self || owner.value.empty();
     if (w.is_direct) {
-        enqueue(s, claim_record(w.claim), s.world.self, w.deadline);
+        enqueue(s, claim_record(w.claim), s.membership.self, w.deadline);
         return;
     }
     const auto left = std::chrono::duration_cast<std::chrono::milliseconds>(w.deadline - s.now);
@@ -216,7 +216,8 @@
 
 void take(step& s, const claim_requested_event& e)
 {
-    const claim_record claim{e.key, {s.world.self, s.world.life, s.state.next_number++}, e.digest};
+    const claim_record claim{
+        e.key, {s.membership.self, s.membership.life, s.state.next_number++}, e.digest};
     const auto refuse = [&](const claim_verdict& verdict) {
         s.out.emplace_back(claim_verdict_effect{e.request, claim.id.number, verdict});
     };
@@ -313,7 +314,7 @@
                          claim_refused{result_code::claim_store_unavailable});
         } else if (!w.is_direct && s.now >= w.direct_at) {
             w.is_direct = true;
-            enqueue(s, claim_record(w.claim), s.world.self, w.deadline);
+            enqueue(s, claim_record(w.claim), s.membership.self, w.deadline);
         }
     }
 }
@@ -373,10 +374,10 @@
     return owner;
 }
 
-claim_effects reduce_claims(claim_state& state, const claim_membership& world, const claim_event& e,
-                            monotonic_time now, wall_time wall)
+claim_effects reduce_claims(claim_state& state, const claim_membership& membership,
+                            const claim_event& e, monotonic_time now, wall_time wall)
 {
-    step s{state, world, now, wall, {}};
+    step s{state, membership, now, wall, {}};
     std::visit([&](const auto& one) { take(s, one); }, e);
     return std::move(s.out);
 }
--- a/source/claims/claim_reducer.h
+++ b/source/claims/claim_reducer.h
@@ -70,8 +70,8 @@
 constexpr std::chrono::seconds writer_idle_timeout{120};
 
 /// Applies one event to the state and returns the resulting effects.
-claim_effects reduce_claims(claim_state& state, const claim_membership& world, const claim_event& e,
-                            monotonic_time now, wall_time wall);
+claim_effects reduce_claims(claim_state& state, const claim_membership& membership,
+                            const claim_event& e, monotonic_time now, wall_time wall);
 
 /// The bucket's owner among `hosts`, by rendezvous hashing; empty if there is none.
 host_id owner_of(bucket_number bucket, const host_incarnations& hosts);
