--- a/source/claims/claim_reducer.cpp
+++ b/source/claims/claim_reducer.cpp
@@ -229,7 +229,7 @@
         return refuse(*known);
     }
     waiting_claim w{e.request, claim, std::min(e.deadline, s.now + claim_patience),
-                    s.now + owner_patience, false};
+                    s.now + owner_timeout, false};
     auto& kept = s.state.waiting.emplace(claim.id.number, w).first->second;
     ask_owner(s, kept);
 }
--- a/source/claims/claim_reducer.h
+++ b/source/claims/claim_reducer.h
@@ -58,7 +58,7 @@
 };
 
 /// How long a host waits for a bucket's owner before it writes the claim to the log itself.
-constexpr std::chrono::milliseconds owner_patience{400};
+constexpr std::chrono::milliseconds owner_timeout{400};
 /// A claim that is not durable within this time is refused, so that the wait does not use up the
 /// request's time to run.
 constexpr std::chrono::milliseconds claim_patience{2'000};
