--- a/source/claims/claim_reducer.cpp
+++ b/source/claims/claim_reducer.cpp
@@ -228,7 +228,7 @@
     if (const auto known = verdict_from_own(s.state, claim)) {
         return refuse(*known);
     }
-    waiting_claim w{e.request, claim, std::min(e.deadline, s.now + claim_patience),
+    waiting_claim w{e.request, claim, std::min(e.deadline, s.now + claim_timeout),
                     s.now + owner_timeout, false};
     auto& kept = s.state.waiting.emplace(claim.id.number, w).first->second;
     ask_owner(s, kept);
@@ -287,7 +287,7 @@
     std::visit(overloaded{
                    [&](const claim_request_message& m) {
                        const auto left =
-                           std::clamp(m.time_left, std::chrono::milliseconds{0}, claim_patience);
+                           std::clamp(m.time_left, std::chrono::milliseconds{0}, claim_timeout);
                        enqueue(s, m.claim, from, s.now + left);
                    },
                    [&](const verdict_message& m) { take_verdict(s, m.id, m.key, m.verdict); },
--- a/source/claims/claim_reducer.h
+++ b/source/claims/claim_reducer.h
@@ -61,7 +61,7 @@
 constexpr std::chrono::milliseconds owner_timeout{400};
 /// A claim that is not durable within this time is refused, so that the wait does not use up the
 /// request's time to run.
-constexpr std::chrono::milliseconds claim_patience{2'000};
+constexpr std::chrono::milliseconds claim_timeout{2'000};
 constexpr std::chrono::milliseconds outcome_resend_interval{500};
 /// Limit of own claims and of unsaved outcomes in memory. Beyond it the oldest are dropped and only
 /// the log can answer for them; retries of a key whose outcome was dropped get
