--- a/source/claims/claim_reducer.cpp
+++ b/source/claims/claim_reducer.cpp
@@ -131,7 +131,7 @@
     }
 }
 
-void take_verdict(step& s, const claim_id& id, const claim_key& key, const claim_verdict& verdict)
+void apply_verdict(step& s, const claim_id& id, const claim_key& key, const claim_verdict& verdict)
 {
     if (id.host != s.membership.self || id.life != s.membership.life) {
         return;
@@ -168,7 +168,7 @@
     }
     for (const auto& v : output.verdicts) {
         if (v.to == s.membership.self) {
-            take_verdict(s, v.id, v.key, v.verdict);
+            apply_verdict(s, v.id, v.key, v.verdict);
         } else {
             send(s, v.to, verdict_message{v.id, v.key, v.verdict});
         }
@@ -290,7 +290,7 @@
                            std::clamp(m.time_left, std::chrono::milliseconds{0}, claim_timeout);
                        enqueue(s, m.claim, from, s.now + left);
                    },
-                   [&](const verdict_message& m) { take_verdict(s, m.id, m.key, m.verdict); },
+                   [&](const verdict_message& m) { apply_verdict(s, m.id, m.key, m.verdict); },
                    [&](const outcome_message& m) { enqueue(s, m.outcome, from); },
                    [&](const outcome_ack_message& m) { take_kept(s, m.id); },
                },
@@ -310,8 +310,8 @@
         }
         auto& w = found->second;
         if (s.now >= w.deadline) {
-            take_verdict(s, w.claim.id, w.claim.key,
-                         claim_refused{result_code::claim_store_unavailable});
+            apply_verdict(s, w.claim.id, w.claim.key,
+                          claim_refused{result_code::claim_store_unavailable});
         } else if (!w.is_direct && s.now >= w.direct_at) {
             w.is_direct = true;
             enqueue(s, claim_record(w.claim), s.membership.self, w.deadline);
