--- a/source/claims/claim_reducer.cpp
+++ b/source/claims/claim_reducer.cpp
@@ -146,7 +146,7 @@
     end_waiting(s, w, verdict);
 }
 
-void take_kept(step& s, const claim_id& id)
+void handle_outcome_ack(step& s, const claim_id& id)
 {
     if (id.host == s.membership.self && id.life == s.membership.life) {
         s.state.unsaved.erase(id.number);
@@ -161,7 +161,7 @@
     std::ranges::move(output.store, std::back_inserter(s.out));
     for (const auto& kept : output.kept) {
         if (kept.to == s.membership.self) {
-            take_kept(s, kept.id);
+            handle_outcome_ack(s, kept.id);
         } else {
             send(s, kept.to, outcome_ack_message{kept.id});
         }
@@ -292,7 +292,7 @@
                    },
                    [&](const verdict_message& m) { apply_verdict(s, m.id, m.key, m.verdict); },
                    [&](const outcome_message& m) { enqueue(s, m.outcome, from); },
-                   [&](const outcome_ack_message& m) { take_kept(s, m.id); },
+                   [&](const outcome_ack_message& m) { handle_outcome_ack(s, m.id); },
                },
                e.message.body);
 }
