--- a/source/claims/claim_reducer.cpp
+++ b/source/claims/claim_reducer.cpp
@@ -214,7 +214,7 @@
     send(s, owner, claim_request_message{w.claim, left});
 }
 
-void take(step& s, const claim_requested_event& e)
+void handle(step& s, const claim_requested_event& e)
 {
     const claim_record claim{
         e.key, {s.membership.self, s.membership.life, s.state.next_number++}, e.digest};
@@ -234,7 +234,7 @@
     ask_owner(s, kept);
 }
 
-void take(step& s, const claim_finished_event& e)
+void handle(step& s, const claim_finished_event& e)
 {
     const auto found = s.state.running.find(e.number);
     if (found == s.state.running.end()) {
@@ -263,7 +263,7 @@
     return output;
 }
 
-void take(step& s, const claim_read_event& e)
+void handle(step& s, const claim_read_event& e)
 {
     if (auto* writer = find_writer(s.state, e.call)) {
         auto output = empty_output(s);
@@ -272,7 +272,7 @@
     }
 }
 
-void take(step& s, const claim_written_event& e)
+void handle(step& s, const claim_written_event& e)
 {
     if (auto* writer = find_writer(s.state, e.call)) {
         auto output = empty_output(s);
@@ -281,7 +281,7 @@
     }
 }
 
-void take(step& s, const claim_message_event& e)
+void handle(step& s, const claim_message_event& e)
 {
     const auto& from = e.message.from;
     std::visit(overloaded{
@@ -351,7 +351,7 @@
     }
 }
 
-void take(step& s, const claim_tick_event& /*e*/)
+void handle(step& s, const claim_tick_event& /*e*/)
 {
     tick_waiting(s);
     tick_unsaved(s);
@@ -378,7 +378,7 @@
                             const claim_event& e, monotonic_time now, wall_time wall)
 {
     step s{state, membership, now, wall, {}};
-    std::visit([&](const auto& one) { take(s, one); }, e);
+    std::visit([&](const auto& one) { handle(s, one); }, e);
     return std::move(s.out);
 }
 
