--- a/source/claims/claim_lane.cpp
+++ b/source/claims/claim_lane.cpp
@@ -283,7 +283,7 @@
     }
     writer.failures = 0;
     const auto found = succeeded(object) ? std::optional(value_of(object)) : std::nullopt;
-    if (take_segment(writer.log, writer.id.slice, found) == segment_use::read_next) {
+    if (apply_segment(writer.log, writer.id.slice, found) == segment_use::read_next) {
         start_next_segment(writer.log);
         start_read(writer, out);
         return;
--- a/source/claims/claim_log.cpp
+++ b/source/claims/claim_log.cpp
@@ -46,8 +46,8 @@
     }
 }
 
-segment_use take_segment(claim_log& log, slice_number slice,
-                         const std::optional<stored_object>& object)
+segment_use apply_segment(claim_log& log, slice_number slice,
+                          const std::optional<stored_object>& object)
 {
     if (!object) {
         return segment_use::append_here;
--- a/source/claims/claim_log.h
+++ b/source/claims/claim_log.h
@@ -47,8 +47,8 @@
 
 /// Applies a segment that was read; `object` is empty if it does not exist. Reading the last
 /// segment again applies only the records that other hosts have appended since.
-segment_use take_segment(claim_log& log, slice_number slice,
-                         const std::optional<stored_object>& object);
+segment_use apply_segment(claim_log& log, slice_number slice,
+                          const std::optional<stored_object>& object);
 
 /// The last segment with `batch` appended, ready to be written.
 log_segment with_batch(const claim_log& log, slice_number slice,
--- a/unit_tests/claims/claim_log_test.cpp
+++ b/unit_tests/claims/claim_log_test.cpp
@@ -92,7 +92,7 @@
     {
         claim_log log;
         const auto later = segment_of(slice_number(9 + retained_slices), {}, 4);
-        CPPUNIT_ASSERT(take_segment(log, slice_number(9), later) == segment_use::expired);
+        CPPUNIT_ASSERT(apply_segment(log, slice_number(9), later) == segment_use::expired);
         CPPUNIT_ASSERT(log.expired);
     }
 
@@ -101,7 +101,7 @@
         claim_log log;
         const auto earlier =
             segment_of(slice_number(9), {claim_record{sample_key(), sample_id(1), 5}}, 4);
-        const auto use = take_segment(log, slice_number(9 + retained_slices), earlier);
+        const auto use = apply_segment(log, slice_number(9 + retained_slices), earlier);
         CPPUNIT_ASSERT(use == segment_use::append_here);
         CPPUNIT_ASSERT(log.entries.empty());
         CPPUNIT_ASSERT_EQUAL(object_version{4}, log.last.version.value());
@@ -113,7 +113,7 @@
     {
         claim_log log;
         const stored_object broken{"k", 1, "not a segment"};
-        CPPUNIT_ASSERT(take_segment(log, slice_number(9), broken) == segment_use::expired);
+        CPPUNIT_ASSERT(apply_segment(log, slice_number(9), broken) == segment_use::expired);
     }
 
     void messages_survive_a_round_trip()
