--- a/source/claims/claim_lane.cpp
+++ b/source/claims/claim_lane.cpp
@@ -310,7 +310,7 @@
     }
     writer.failures = 0;
     const bool is_full =
-        take_written(writer.log, writer.batch, writer.batch_bytes, value_of(version));
+        apply_written_batch(writer.log, writer.batch, writer.batch_bytes, value_of(version));
     answer_written_outcomes(writer, out);
     writer.batch.clear();
     writer.stage = writer_stage::ready;
--- a/source/claims/claim_log.cpp
+++ b/source/claims/claim_log.cpp
@@ -82,8 +82,8 @@
     return segment;
 }
 
-bool take_written(claim_log& log, const std::vector<log_record>& batch, std::size_t bytes,
-                  object_version version)
+bool apply_written_batch(claim_log& log, const std::vector<log_record>& batch, std::size_t bytes,
+                         object_version version)
 {
     for (const auto& record : batch) {
         apply(log, record);
--- a/source/claims/claim_log.h
+++ b/source/claims/claim_log.h
@@ -55,8 +55,8 @@
                        const std::vector<log_record>& batch);
 
 /// Applies a batch that was written as `version`. Returns whether the segment is now full.
-bool take_written(claim_log& log, const std::vector<log_record>& batch, std::size_t bytes,
-                  object_version version);
+bool apply_written_batch(claim_log& log, const std::vector<log_record>& batch, std::size_t bytes,
+                         object_version version);
 
 /// Advances to the segment after a full one; it has yet to be read.
 void start_next_segment(claim_log& log);
