--- a/source/claims/claim_reducer.cpp
+++ b/source/claims/claim_reducer.cpp
@@ -121,8 +121,8 @@
 /// A claim can become durable after its request has been refused, for instance when its message was
 /// delayed, and then holds a key that nobody runs. Only claims that are known to have been refused
 /// are released: one that is no longer in memory may have run.
-void return_unwanted_grant(step& s, const claim_id& id, const claim_key& key,
-                           const claim_verdict& verdict)
+void release_unused_grant(step& s, const claim_id& id, const claim_key& key,
+                          const claim_verdict& verdict)
 {
     const bool is_unwanted =
         std::holds_alternative<claim_granted>(verdict) && s.state.refused.contains(id.number);
@@ -138,7 +138,7 @@
     }
     const auto found = s.state.waiting.find(id.number);
     if (found == s.state.waiting.end()) {
-        return_unwanted_grant(s, id, key, verdict);
+        release_unused_grant(s, id, key, verdict);
         return;
     }
     const auto w = found->second;
