--- a/source/claims/claim_reducer.cpp
+++ b/source/claims/claim_reducer.cpp
@@ -176,7 +176,7 @@
 }
 
 /// The verdict that local records allow, if any, without a read of the log.
-std::optional<claim_verdict> verdict_from_own(const claim_state& state, const claim_record& claim)
+std::optional<claim_verdict> find_local_verdict(const claim_state& state, const claim_record& claim)
 {
     const auto found = state.own.find(claim.key);
     if (found == state.own.end()) {
@@ -225,7 +225,7 @@
     if (!succeeded(age)) {
         return refuse(claim_refused{error_of(age).code});
     }
-    if (const auto known = verdict_from_own(s.state, claim)) {
+    if (const auto known = find_local_verdict(s.state, claim)) {
         return refuse(*known);
     }
     waiting_claim w{e.request, claim, std::min(e.deadline, s.now + claim_timeout),
