--- a/source/claims/claim_key.cpp
+++ b/source/claims/claim_key.cpp
@@ -41,7 +41,7 @@
     return boost::uuids::to_string(key);
 }
 
-std::uint64_t minted_ms(const claim_key& key)
+std::uint64_t created_ms(const claim_key& key)
 {
     std::uint64_t ms = 0;
     for (std::size_t i = 0; i < time_bytes; ++i) {
@@ -58,13 +58,13 @@
 
 slice_number slice_of(const claim_key& key)
 {
-    return slice_number(slice_at(minted_ms(key)));
+    return slice_number(slice_at(created_ms(key)));
 }
 
 result<done> check_age(const claim_key& key, wall_time now)
 {
     const auto now_ms = milliseconds_of(now);
-    if (minted_ms(key) > now_ms + static_cast<std::uint64_t>(max_key_lead.count())) {
+    if (created_ms(key) > now_ms + static_cast<std::uint64_t>(max_key_lead.count())) {
         return error{result_code::key_from_future, text_of(key)};
     }
     // The newest slice reuses the oldest one's objects and may overwrite them at any moment.
--- a/source/claims/claim_key.h
+++ b/source/claims/claim_key.h
@@ -35,7 +35,7 @@
 /// The canonical text form, lower case.
 std::string text_of(const claim_key& key);
 
-std::uint64_t minted_ms(const claim_key& key);
+std::uint64_t created_ms(const claim_key& key);
 bucket_number bucket_of(const claim_key& key);
 slice_number slice_of(const claim_key& key);
 
--- a/unit_tests/claims/claim_log_test.cpp
+++ b/unit_tests/claims/claim_log_test.cpp
@@ -60,7 +60,7 @@
     void refuses_keys_outside_the_retention()
     {
         const auto key = sample_key();
-        const auto minted = wall_time(std::chrono::milliseconds(minted_ms(key)));
+        const auto minted = wall_time(std::chrono::milliseconds(created_ms(key)));
         CPPUNIT_ASSERT(code_of(check_age(key, minted)) == result_code::ok);
         CPPUNIT_ASSERT(code_of(check_age(key, minted - std::chrono::minutes(1))) ==
                        result_code::key_from_future);
