--- a/source/claims/claim_key.cpp
+++ b/source/claims/claim_key.cpp
@@ -64,7 +64,7 @@
 result<done> check_age(const claim_key& key, wall_time now)
 {
     const auto now_ms = milliseconds_of(now);
-    if (created_ms(key) > now_ms + static_cast<std::uint64_t>(max_key_lead.count())) {
+    if (created_ms(key) > now_ms + static_cast<std::uint64_t>(max_key_clock_skew.count())) {
         return error{result_code::key_from_future, text_of(key)};
     }
     // The newest slice reuses the oldest one's objects and may overwrite them at any moment.
--- a/source/claims/claim_key.h
+++ b/source/claims/claim_key.h
@@ -27,7 +27,7 @@
 /// Retention in slices; the objects of an expired slice are overwritten in place.
 constexpr std::uint64_t retained_slices = 1'440;
 /// Clock skew tolerance: how far a key's timestamp may lie ahead of this host's clock.
-constexpr std::chrono::milliseconds max_key_lead{5'000};
+constexpr std::chrono::milliseconds max_key_clock_skew{5'000};
 
 /// Parses the text form. Errors: key_missing for an empty text, key_malformed.
 result<claim_key> parse_claim_key(std::string_view text);
