--- a/unit_tests/claims/claim_world.cpp
+++ b/unit_tests/claims/claim_world.cpp
@@ -24,7 +24,7 @@
 constexpr milliseconds pause_time{12'000};
 constexpr milliseconds outage_time{5'000};
 constexpr milliseconds tick_gap{250};
-constexpr milliseconds caller_patience{900};
+constexpr milliseconds caller_timeout{900};
 /// No fault begins later than this, so that all faults are over at the time of the last retry.
 constexpr milliseconds last_fault_at{25'000};
 constexpr milliseconds last_resend_at{40'000};
@@ -441,7 +441,7 @@
     if (tries_left == 0) {
         return;
     }
-    at(m, m.now + caller_patience, [&m, host, request, key, tries_left] {
+    at(m, m.now + caller_timeout, [&m, host, request, key, tries_left] {
         if (!m.requests[request].answered) {
             send_request(m, (host + 1) % host_count, request + 1, key, tries_left - 1);
         }
