--- a/unit_tests/claims/claim_world.cpp
+++ b/unit_tests/claims/claim_world.cpp
@@ -364,7 +364,7 @@
     } else {
         const auto code = std::get<claim_refused>(e.verdict).code;
         if (r.key == m.key) {
-            m.report.last_word_unknown = code == result_code::claim_outcome_unknown;
+            m.report.last_answer_unknown = code == result_code::claim_outcome_unknown;
         }
         r.refused_unrun = says_not_run(code);
         if (r.refused_unrun && r.dispatched) {
@@ -480,7 +480,7 @@
 void check_end(model& m)
 {
     m.report.runs = m.runs[m.key];
-    const bool has_word = m.report.answered || m.report.last_word_unknown;
+    const bool has_word = m.report.answered || m.report.last_answer_unknown;
     if (!has_word) {
         violate(m, "long after all faults a retry gets neither an answer nor an unknown outcome");
     }
--- a/unit_tests/claims/claim_world.h
+++ b/unit_tests/claims/claim_world.h
@@ -38,7 +38,7 @@
     std::vector<std::string> violations;
     std::uint32_t runs = 0;
     bool answered = false; ///< some caller got the response of the executed request
-    bool last_word_unknown = false;
+    bool last_answer_unknown = false;
     std::set<std::uint64_t> states; ///< hashes of the states visited
 };
 
