--- a/unit_tests/claims/claim_world.cpp
+++ b/unit_tests/claims/claim_world.cpp
@@ -200,9 +200,9 @@
     if (is_gone(m, s.host, s.life)) {
         return;
     }
-    const bool hears_nothing = fault == claim_fault::lost_before ||
-                               fault == claim_fault::lost_after || fault == claim_fault::late;
-    if (hears_nothing) {
+    const bool is_response_lost = fault == claim_fault::lost_before ||
+                                  fault == claim_fault::lost_after || fault == claim_fault::late;
+    if (is_response_lost) {
         finish_call(m, s, s.fail(result_code::platform_answer_lost), call_timeout);
     }
     if (fault == claim_fault::lost_before) {
@@ -211,8 +211,8 @@
     const auto travel = fault == claim_fault::late ? late_by : platform_delay;
     const auto answer_delay =
         fault == claim_fault::late_answer ? call_timeout - 2 * platform_delay : milliseconds{0};
-    at(m, m.now + travel, [&m, s, hears_nothing, answer_delay, fault] {
-        reach_platform(m, s, !hears_nothing, answer_delay, fault == claim_fault::twice);
+    at(m, m.now + travel, [&m, s, is_response_lost, answer_delay, fault] {
+        reach_platform(m, s, !is_response_lost, answer_delay, fault == claim_fault::twice);
     });
 }
 
