--- a/unit_tests/claims/claim_world.cpp
+++ b/unit_tests/claims/claim_world.cpp
@@ -116,7 +116,7 @@
 
 /// Starts a fault of a host, its failure domain or the platform together with its step; the step
 /// itself is then processed under that fault.
-void begin_place_fault(model& m, std::size_t host, claim_fault fault)
+void start_host_fault(model& m, std::size_t host, claim_fault fault)
 {
     auto& h = m.hosts[host];
     if (fault == claim_fault::host_paused) {
@@ -196,7 +196,7 @@
 void start_store_step(model& m, const store_step& s)
 {
     const auto fault = next_fault(m);
-    begin_place_fault(m, s.host, fault);
+    start_host_fault(m, s.host, fault);
     if (is_gone(m, s.host, s.life)) {
         return;
     }
@@ -254,7 +254,7 @@
 {
     const auto life = m.hosts[host].life;
     const auto fault = next_fault(m);
-    begin_place_fault(m, host, fault);
+    start_host_fault(m, host, fault);
     if (fault == claim_fault::lost_before || fault == claim_fault::lost_after ||
         is_gone(m, host, life)) {
         return;
@@ -326,7 +326,7 @@
 {
     const auto life = m.hosts[host].life;
     const auto fault = next_fault(m);
-    begin_place_fault(m, host, fault);
+    start_host_fault(m, host, fault);
     if (is_gone(m, host, life)) {
         return;
     }
