--- a/unit_tests/claims/claim_world.cpp
+++ b/unit_tests/claims/claim_world.cpp
@@ -172,8 +172,8 @@
 }
 
 /// Executes the call at the platform, or fails it if the platform is down or not reachable.
-void reach_platform(model& m, const store_step& s, bool answer_arrives, milliseconds answer_delay,
-                    bool twice)
+void execute_at_platform(model& m, const store_step& s, bool answer_arrives,
+                         milliseconds answer_delay, bool twice)
 {
     if (m.now < m.platform_down_until) {
         finish_call(m, s, s.fail(result_code::platform_unavailable), peer_delay);
@@ -212,7 +212,7 @@
     const auto answer_delay =
         fault == claim_fault::late_answer ? call_timeout - 2 * platform_delay : milliseconds{0};
     at(m, m.now + travel, [&m, s, is_response_lost, answer_delay, fault] {
-        reach_platform(m, s, !is_response_lost, answer_delay, fault == claim_fault::twice);
+        execute_at_platform(m, s, !is_response_lost, answer_delay, fault == claim_fault::twice);
     });
 }
 
