--- a/unit_tests/claims/claim_world.cpp
+++ b/unit_tests/claims/claim_world.cpp
@@ -87,7 +87,7 @@
 void deliver(model& m, std::size_t host, std::uint64_t life, const claim_event& e);
 
 /// Updates a host's view of the live hosts; a partitioned host sees only itself.
-void renew_view(model& m, std::size_t host)
+void update_view(model& m, std::size_t host)
 {
     auto& h = m.hosts[host];
     h.view = {name_of_host(host), incarnation(h.life), {}, {}};
@@ -411,7 +411,7 @@
         at(m, h.paused_until, [&m, host, life, e] { deliver(m, host, life, e); });
         return;
     }
-    renew_view(m, host);
+    update_view(m, host);
     const auto todo = reduce_claims(h.state, h.view, e, to_monotonic(m.now), to_wall(m.now));
     for (const auto& effect : todo) {
         if (is_gone(m, host, life)) {
