--- a/unit_tests/claims/claim_world.cpp
+++ b/unit_tests/claims/claim_world.cpp
@@ -131,7 +131,7 @@
     }
 }
 
-bool is_gone(const model& m, std::size_t host, std::uint64_t life)
+bool is_replaced(const model& m, std::size_t host, std::uint64_t life)
 {
     return m.hosts[host].life != life;
 }
@@ -197,7 +197,7 @@
 {
     const auto fault = next_fault(m);
     start_host_fault(m, s.host, fault);
-    if (is_gone(m, s.host, s.life)) {
+    if (is_replaced(m, s.host, s.life)) {
         return;
     }
     const bool is_response_lost = fault == claim_fault::lost_before ||
@@ -256,7 +256,7 @@
     const auto fault = next_fault(m);
     start_host_fault(m, host, fault);
     if (fault == claim_fault::lost_before || fault == claim_fault::lost_after ||
-        is_gone(m, host, life)) {
+        is_replaced(m, host, life)) {
         return;
     }
     const bool is_late = fault == claim_fault::late || fault == claim_fault::late_answer;
@@ -276,7 +276,7 @@
 void finish_work(model& m, std::size_t host, std::uint64_t life, std::uint64_t request,
                  claim_number number, claim_end end)
 {
-    if (is_gone(m, host, life)) {
+    if (is_replaced(m, host, life)) {
         return;
     }
     const claim_answer answer{200, "text/plain", "first answer", end == claim_end::ran};
@@ -302,7 +302,7 @@
 void run_work(model& m, std::size_t host, std::uint64_t life, std::uint64_t request,
               claim_number number, const claim_key& key, bool answer_is_lost)
 {
-    if (is_gone(m, host, life)) {
+    if (is_replaced(m, host, life)) {
         return;
     }
     auto& r = m.requests[request];
@@ -327,7 +327,7 @@
     const auto life = m.hosts[host].life;
     const auto fault = next_fault(m);
     start_host_fault(m, host, fault);
-    if (is_gone(m, host, life)) {
+    if (is_replaced(m, host, life)) {
         return;
     }
     if (fault == claim_fault::lost_before) {
@@ -403,7 +403,7 @@
 
 void deliver(model& m, std::size_t host, std::uint64_t life, const claim_event& e)
 {
-    if (is_gone(m, host, life)) {
+    if (is_replaced(m, host, life)) {
         return;
     }
     auto& h = m.hosts[host];
@@ -414,7 +414,7 @@
     update_view(m, host);
     const auto todo = reduce_claims(h.state, h.view, e, to_monotonic(m.now), to_wall(m.now));
     for (const auto& effect : todo) {
-        if (is_gone(m, host, life)) {
+        if (is_replaced(m, host, life)) {
             break; // The host crashed between its effects.
         }
         std::visit([&](const auto& one) { perform(m, host, one); }, effect);
