--- a/source/claims/claim_lane.cpp
+++ b/source/claims/claim_log_writer.cpp
@@ -1,4 +1,4 @@
-#include "claims/claim_lane.h"
+#include "claims/claim_log_writer.h"
 
 #include <algorithm>
 #include <set>
--- a/source/claims/claim_reducer.h
+++ b/source/claims/claim_reducer.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "claims/claim_effect.h"
-#include "claims/claim_lane.h"
+#include "claims/claim_log_writer.h"
 
 #include <deque>
 #include <map>
--- a/unit_tests/claims/claim_log_test.cpp
+++ b/unit_tests/claims/claim_log_test.cpp
@@ -1,5 +1,5 @@
-#include "claims/claim_lane.h"
 #include "claims/claim_log.h"
+#include "claims/claim_log_writer.h"
 #include "claims/claim_message.h"
 
 #include <random>
