--- a/unit_tests/claims/claim_matrix_test.cpp
+++ b/unit_tests/claims/claim_matrix_test.cpp
@@ -1,4 +1,4 @@
-#include "claims/claim_world.h"
+#include "claims/claim_simulation.h"
 
 #include <iostream>
 #include <mutex>
