--- a/source/control/snapshot_builder.cpp
+++ b/source/control/snapshot_builder.cpp
@@ -12,9 +12,9 @@
 
 namespace {
 
-world_view view_of(const control_state& state)
+availability_view view_of(const control_state& state)
 {
-    world_view world;
+    availability_view world;
     world.live_hosts = live_hosts(state);
     world.dead_targets = dead_targets(state);
     if (state.fleet.envelope) {
@@ -36,7 +36,7 @@
     return {static_cast<std::size_t>(found - all.begin()), all.size()};
 }
 
-target_route make_route(const control_state& state, const world_view& world,
+target_route make_route(const control_state& state, const availability_view& world,
                         const host_position& place, std::size_t first, const target& t)
 {
     target_route route;
@@ -51,7 +51,7 @@
 }
 
 /// Every host may use every registered target; their load is balanced per request.
-void add_shared_targets(const control_state& state, const world_view& world,
+void add_shared_targets(const control_state& state, const availability_view& world,
                         routing_snapshot& snapshot)
 {
     const auto& text = state.fleet.text;
@@ -79,7 +79,7 @@
 }
 
 /// Callers of a region are given its live hosts, or all live hosts if the region has none.
-void add_entry_hosts(const control_state& state, const world_view& world,
+void add_entry_hosts(const control_state& state, const availability_view& world,
                      routing_snapshot& snapshot)
 {
     const auto& text = state.fleet.text;
@@ -100,7 +100,8 @@
 
 /// Adds the targets of this host's failure domain to their services. The hosts that get
 /// one slot more than others continue from target to target, so the hosts' totals stay balanced.
-void add_targets(const control_state& state, const world_view& world, routing_snapshot& snapshot)
+void add_targets(const control_state& state, const availability_view& world,
+                 routing_snapshot& snapshot)
 {
     const auto place = position_of(state);
     std::map<service_id, std::size_t> first;
--- a/source/steering/lookup_plan.cpp
+++ b/source/steering/lookup_plan.cpp
@@ -77,7 +77,7 @@
            is_domain_drained(f, drains, h.domain);
 }
 
-place_index make_place_index(const fleet& f, const world_view& world)
+place_index make_place_index(const fleet& f, const availability_view& world)
 {
     place_index places;
     for (const auto& [id, t] : f.targets) {
--- a/source/steering/lookup_plan.h
+++ b/source/steering/lookup_plan.h
@@ -13,7 +13,7 @@
 namespace almondquay {
 
 /// The runtime state that host selection depends on besides the configuration.
-struct world_view {
+struct availability_view {
     std::set<host_id> live_hosts; ///< alive and not leaving
     std::vector<drain_mark> drains;
     std::set<target_id> dead_targets; ///< known to be down
@@ -38,7 +38,7 @@
 };
 
 /// The result points into `f`, which must outlive it.
-place_index make_place_index(const fleet& f, const world_view& world);
+place_index make_place_index(const fleet& f, const availability_view& world);
 
 /// The slots that serve `id` in `domain`; 0 if one of its dependencies cannot be reached from
 /// there. A dependency is reachable if it is served in the same region or in a linked one.
--- a/unit_tests/steering/steering_test.cpp
+++ b/unit_tests/steering/steering_test.cpp
@@ -87,16 +87,17 @@
                                        "f"));
 }
 
-world_view all_alive()
+availability_view all_alive()
 {
-    world_view world;
+    availability_view world;
     for (const auto* name : {"w1", "w2", "e1", "x1"}) {
         world.live_hosts.insert(host_id(name));
     }
     return world;
 }
 
-std::string chosen(const fleet& f, const world_view& world, const char* service, const char* near)
+std::string chosen(const fleet& f, const availability_view& world, const char* service,
+                   const char* near)
 {
     std::string text;
     for (const auto& c :
