--- a/source/steering/lookup_plan.cpp
+++ b/source/steering/lookup_plan.cpp
@@ -77,16 +77,16 @@
            is_domain_drained(f, drains, h.domain);
 }
 
-place_index make_place_index(const fleet& f, const availability_view& world)
+place_index make_place_index(const fleet& f, const availability_view& availability)
 {
     place_index places;
     for (const auto& [id, t] : f.targets) {
-        if (!world.dead_targets.contains(id) && !is_drained(f, world.drains, t)) {
+        if (!availability.dead_targets.contains(id) && !is_drained(f, availability.drains, t)) {
             places.slots[{t.domain, t.serves}] += t.slots.value;
         }
     }
     for (const auto& [id, h] : f.hosts) {
-        if (world.live_hosts.contains(id) && !is_drained(f, world.drains, h)) {
+        if (availability.live_hosts.contains(id) && !is_drained(f, availability.drains, h)) {
             places.hosts[h.domain].push_back(&h);
         }
     }
--- a/unit_tests/steering/steering_test.cpp
+++ b/unit_tests/steering/steering_test.cpp
@@ -89,19 +89,19 @@
 
 availability_view all_alive()
 {
-    availability_view world;
+    availability_view availability;
     for (const auto* name : {"w1", "w2", "e1", "x1"}) {
-        world.live_hosts.insert(host_id(name));
+        availability.live_hosts.insert(host_id(name));
     }
-    return world;
+    return availability;
 }
 
-std::string chosen(const fleet& f, const availability_view& world, const char* service,
+std::string chosen(const fleet& f, const availability_view& availability, const char* service,
                    const char* near)
 {
     std::string text;
     for (const auto& c :
-         choose_hosts(f, make_place_index(f, world), service_id(service), region_id(near))) {
+         choose_hosts(f, make_place_index(f, availability), service_id(service), region_id(near))) {
         text += c.entry->id.value + ":" + std::to_string(c.weight) + " ";
     }
     return text;
@@ -189,22 +189,22 @@
         const auto f = sample_fleet();
         CPPUNIT_ASSERT_EQUAL(0U, usable_slots(f, make_place_index(f, all_alive()),
                                               failure_domain_id("x"), service_id("top")));
-        auto world = all_alive();
-        world.dead_targets.insert(target_id("b"));
-        CPPUNIT_ASSERT_EQUAL(std::string(), chosen(f, world, "top", "west"));
+        auto availability = all_alive();
+        availability.dead_targets.insert(target_id("b"));
+        CPPUNIT_ASSERT_EQUAL(std::string(), chosen(f, availability, "top", "west"));
     }
 
     void drained_and_dead_places_leave_the_answers()
     {
         const auto f = sample_fleet();
-        auto world = all_alive();
-        world.live_hosts.erase(host_id("w1"));
-        CPPUNIT_ASSERT_EQUAL(std::string("w2:3 "), chosen(f, world, "top", "west"));
-        set_mark(world.drains, {drain_kind::host, "w2"}, true);
-        CPPUNIT_ASSERT_EQUAL(std::string(), chosen(f, world, "top", "west"));
-        world = all_alive();
-        set_mark(world.drains, {drain_kind::region, "east"}, true);
-        CPPUNIT_ASSERT_EQUAL(std::string(), chosen(f, world, "base", "east"));
+        auto availability = all_alive();
+        availability.live_hosts.erase(host_id("w1"));
+        CPPUNIT_ASSERT_EQUAL(std::string("w2:3 "), chosen(f, availability, "top", "west"));
+        set_mark(availability.drains, {drain_kind::host, "w2"}, true);
+        CPPUNIT_ASSERT_EQUAL(std::string(), chosen(f, availability, "top", "west"));
+        availability = all_alive();
+        set_mark(availability.drains, {drain_kind::region, "east"}, true);
+        CPPUNIT_ASSERT_EQUAL(std::string(), chosen(f, availability, "base", "east"));
     }
 
     void targets_that_leave_or_go_are_not_usable()
