--- a/source/control/snapshot_builder.cpp
+++ b/source/control/snapshot_builder.cpp
@@ -116,7 +116,7 @@
 
 /// Shares of grants, like those of slots, depend on the configuration alone: whichever hosts are
 /// dead or partitioned, all hosts together never exceed the grant.
-void add_spill(const control_state& state, const place_index& places, const grant& g,
+void add_spill(const control_state& state, const capacity_index& places, const grant& g,
                routing_snapshot& snapshot)
 {
     constexpr double bits_per_byte = 8;
@@ -143,7 +143,7 @@
     }
 }
 
-void add_answers(const control_state& state, const place_index& places, const service& s,
+void add_answers(const control_state& state, const capacity_index& places, const service& s,
                  service_routes& routes)
 {
     const auto& text = state.fleet.text;
--- a/source/steering/lookup_plan.cpp
+++ b/source/steering/lookup_plan.cpp
@@ -17,14 +17,14 @@
            is_marked(drains, drain_kind::region, region_of(f, domain).value);
 }
 
-std::uint32_t slots_in(const place_index& places, const failure_domain_id& domain,
+std::uint32_t slots_in(const capacity_index& places, const failure_domain_id& domain,
                        const service_id& id)
 {
     const auto found = places.slots.find({domain, id});
     return found == places.slots.end() ? 0 : found->second;
 }
 
-bool is_reachable_from(const fleet& f, const place_index& places, const region_id& from,
+bool is_reachable_from(const fleet& f, const capacity_index& places, const region_id& from,
                        const service_id& id)
 {
     return std::ranges::any_of(f.domains, [&](const auto& entry) {
@@ -34,7 +34,7 @@
 }
 
 /// Returns 0 for the same region, 1 for a linked one, 2 for all others.
-int distance(const place_index& places, const region_id& from, const region_id& to)
+int distance(const capacity_index& places, const region_id& from, const region_id& to)
 {
     if (from == to) {
         return 0;
@@ -48,7 +48,7 @@
     std::uint32_t weight = 0;
 };
 
-void add_candidates(const fleet& f, const place_index& places, const failure_domain& domain,
+void add_candidates(const fleet& f, const capacity_index& places, const failure_domain& domain,
                     const service_id& id, const region_id& near_region, std::vector<candidate>& all)
 {
     const auto slots = usable_slots(f, places, domain.id, id);
@@ -77,9 +77,9 @@
            is_domain_drained(f, drains, h.domain);
 }
 
-place_index make_place_index(const fleet& f, const availability_view& availability)
+capacity_index make_place_index(const fleet& f, const availability_view& availability)
 {
-    place_index places;
+    capacity_index places;
     for (const auto& [id, t] : f.targets) {
         if (!availability.dead_targets.contains(id) && !is_drained(f, availability.drains, t)) {
             places.slots[{t.domain, t.serves}] += t.slots.value;
@@ -100,7 +100,7 @@
     return places;
 }
 
-std::uint32_t usable_slots(const fleet& f, const place_index& places,
+std::uint32_t usable_slots(const fleet& f, const capacity_index& places,
                            const failure_domain_id& domain, const service_id& id)
 {
     const auto found = f.services.find(id);
@@ -115,7 +115,7 @@
     return dependencies_met ? slots_in(places, domain, id) : 0;
 }
 
-std::vector<host_choice> choose_hosts(const fleet& f, const place_index& places,
+std::vector<host_choice> choose_hosts(const fleet& f, const capacity_index& places,
                                       const service_id& id, const region_id& near_region)
 {
     std::vector<candidate> all;
--- a/source/steering/lookup_plan.h
+++ b/source/steering/lookup_plan.h
@@ -31,23 +31,23 @@
 bool is_drained(const fleet& f, const std::vector<drain_mark>& drains, const host& h);
 
 /// Available capacity and hosts by failure domain, computed once for all lookup answers.
-struct place_index {
+struct capacity_index {
     std::map<std::pair<failure_domain_id, service_id>, std::uint32_t> slots;
     std::map<failure_domain_id, std::vector<const host*>> hosts; ///< live and not drained
     std::set<std::pair<region_id, region_id>> linked;            ///< symmetric and reflexive
 };
 
 /// The result points into `f`, which must outlive it.
-place_index make_place_index(const fleet& f, const availability_view& availability);
+capacity_index make_place_index(const fleet& f, const availability_view& availability);
 
 /// The slots that serve `id` in `domain`; 0 if one of its dependencies cannot be reached from
 /// there. A dependency is reachable if it is served in the same region or in a linked one.
-std::uint32_t usable_slots(const fleet& f, const place_index& places,
+std::uint32_t usable_slots(const fleet& f, const capacity_index& places,
                            const failure_domain_id& domain, const service_id& id);
 
 /// The hosts for callers near `near_region`: first those at the smallest distance that can serve,
 /// weighted by the slots behind them, then those of other regions with weight 0.
-std::vector<host_choice> choose_hosts(const fleet& f, const place_index& places,
+std::vector<host_choice> choose_hosts(const fleet& f, const capacity_index& places,
                                       const service_id& id, const region_id& near_region);
 
 /// Encodes the lookup answer as JSON: service, generation, ttl_ms and hosts with address, domain
