--- a/source/control/snapshot_builder.cpp
+++ b/source/control/snapshot_builder.cpp
@@ -172,7 +172,7 @@
     }
     snapshot->in_force = state.fleet.envelope->number;
     const auto world = view_of(state);
-    const auto places = make_place_index(state.fleet.text, world);
+    const auto places = make_capacity_index(state.fleet.text, world);
     for (const auto& [id, s] : state.fleet.text.services) {
         if (state.self.has_inventory) {
             snapshot->services[id.value].definition = s;
--- a/source/steering/lookup_plan.cpp
+++ b/source/steering/lookup_plan.cpp
@@ -77,7 +77,7 @@
            is_domain_drained(f, drains, h.domain);
 }
 
-capacity_index make_place_index(const fleet& f, const availability_view& availability)
+capacity_index make_capacity_index(const fleet& f, const availability_view& availability)
 {
     capacity_index places;
     for (const auto& [id, t] : f.targets) {
--- a/source/steering/lookup_plan.h
+++ b/source/steering/lookup_plan.h
@@ -38,7 +38,7 @@
 };
 
 /// The result points into `f`, which must outlive it.
-capacity_index make_place_index(const fleet& f, const availability_view& availability);
+capacity_index make_capacity_index(const fleet& f, const availability_view& availability);
 
 /// The slots that serve `id` in `domain`; 0 if one of its dependencies cannot be reached from
 /// there. A dependency is reachable if it is served in the same region or in a linked one.
--- a/unit_tests/steering/steering_test.cpp
+++ b/unit_tests/steering/steering_test.cpp
@@ -100,8 +100,8 @@
                    const char* near)
 {
     std::string text;
-    for (const auto& c :
-         choose_hosts(f, make_place_index(f, availability), service_id(service), region_id(near))) {
+    for (const auto& c : choose_hosts(f, make_capacity_index(f, availability), service_id(service),
+                                      region_id(near))) {
         text += c.entry->id.value + ":" + std::to_string(c.weight) + " ";
     }
     return text;
@@ -187,7 +187,7 @@
     {
         // Domain x has a target of "top" but no link to where "base" runs.
         const auto f = sample_fleet();
-        CPPUNIT_ASSERT_EQUAL(0U, usable_slots(f, make_place_index(f, all_alive()),
+        CPPUNIT_ASSERT_EQUAL(0U, usable_slots(f, make_capacity_index(f, all_alive()),
                                               failure_domain_id("x"), service_id("top")));
         auto availability = all_alive();
         availability.dead_targets.insert(target_id("b"));
