--- a/source/steering/lookup_plan.cpp
+++ b/source/steering/lookup_plan.cpp
@@ -17,29 +17,29 @@
            is_marked(drains, drain_kind::region, region_of(f, domain).value);
 }
 
-std::uint32_t slots_in(const capacity_index& places, const failure_domain_id& domain,
+std::uint32_t slots_in(const capacity_index& capacity, const failure_domain_id& domain,
                        const service_id& id)
 {
-    const auto found = places.slots.find({domain, id});
-    return found == places.slots.end() ? 0 : found->second;
+    const auto found = capacity.slots.find({domain, id});
+    return found == capacity.slots.end() ? 0 : found->second;
 }
 
-bool is_reachable_from(const fleet& f, const capacity_index& places, const region_id& from,
+bool is_reachable_from(const fleet& f, const capacity_index& capacity, const region_id& from,
                        const service_id& id)
 {
     return std::ranges::any_of(f.domains, [&](const auto& entry) {
-        return places.linked.contains({from, entry.second.in_region}) &&
-               usable_slots(f, places, entry.first, id) > 0;
+        return capacity.linked.contains({from, entry.second.in_region}) &&
+               usable_slots(f, capacity, entry.first, id) > 0;
     });
 }
 
 /// Returns 0 for the same region, 1 for a linked one, 2 for all others.
-int distance(const capacity_index& places, const region_id& from, const region_id& to)
+int distance(const capacity_index& capacity, const region_id& from, const region_id& to)
 {
     if (from == to) {
         return 0;
     }
-    return places.linked.contains({from, to}) ? 1 : 2;
+    return capacity.linked.contains({from, to}) ? 1 : 2;
 }
 
 struct candidate {
@@ -48,18 +48,18 @@
     std::uint32_t weight = 0;
 };
 
-void add_candidates(const fleet& f, const capacity_index& places, const failure_domain& domain,
+void add_candidates(const fleet& f, const capacity_index& capacity, const failure_domain& domain,
                     const service_id& id, const region_id& near_region, std::vector<candidate>& all)
 {
-    const auto slots = usable_slots(f, places, domain.id, id);
-    const auto hosts = places.hosts.find(domain.id);
-    if (slots == 0 || hosts == places.hosts.end()) {
+    const auto slots = usable_slots(f, capacity, domain.id, id);
+    const auto hosts = capacity.hosts.find(domain.id);
+    if (slots == 0 || hosts == capacity.hosts.end()) {
         return;
     }
     const auto count = static_cast<std::uint32_t>(hosts->second.size());
     const auto weight = std::max<std::uint32_t>(1, slots / count);
     for (const auto* h : hosts->second) {
-        all.push_back({h, distance(places, near_region, domain.in_region), weight});
+        all.push_back({h, distance(capacity, near_region, domain.in_region), weight});
     }
 }
 
@@ -79,28 +79,28 @@
 
 capacity_index make_capacity_index(const fleet& f, const availability_view& availability)
 {
-    capacity_index places;
+    capacity_index capacity;
     for (const auto& [id, t] : f.targets) {
         if (!availability.dead_targets.contains(id) && !is_drained(f, availability.drains, t)) {
-            places.slots[{t.domain, t.serves}] += t.slots.value;
+            capacity.slots[{t.domain, t.serves}] += t.slots.value;
         }
     }
     for (const auto& [id, h] : f.hosts) {
         if (availability.live_hosts.contains(id) && !is_drained(f, availability.drains, h)) {
-            places.hosts[h.domain].push_back(&h);
+            capacity.hosts[h.domain].push_back(&h);
         }
     }
     for (const auto& [id, r] : f.regions) {
-        places.linked.emplace(id, id);
+        capacity.linked.emplace(id, id);
     }
     for (const auto& l : f.links) {
-        places.linked.emplace(l.first, l.second);
-        places.linked.emplace(l.second, l.first);
+        capacity.linked.emplace(l.first, l.second);
+        capacity.linked.emplace(l.second, l.first);
     }
-    return places;
+    return capacity;
 }
 
-std::uint32_t usable_slots(const fleet& f, const capacity_index& places,
+std::uint32_t usable_slots(const fleet& f, const capacity_index& capacity,
                            const failure_domain_id& domain, const service_id& id)
 {
     const auto found = f.services.find(id);
@@ -110,17 +110,17 @@
     const auto from = region_of(f, domain);
     const bool dependencies_met =
         std::ranges::all_of(found->second.depends_on, [&](const service_id& needed) {
-            return is_reachable_from(f, places, from, needed);
+            return is_reachable_from(f, capacity, from, needed);
         });
-    return dependencies_met ? slots_in(places, domain, id) : 0;
+    return dependencies_met ? slots_in(capacity, domain, id) : 0;
 }
 
-std::vector<host_choice> choose_hosts(const fleet& f, const capacity_index& places,
+std::vector<host_choice> choose_hosts(const fleet& f, const capacity_index& capacity,
                                       const service_id& id, const region_id& near_region)
 {
     std::vector<candidate> all;
     for (const auto& [unused, domain] : f.domains) {
-        add_candidates(f, places, domain, id, near_region, all);
+        add_candidates(f, capacity, domain, id, near_region, all);
     }
     std::ranges::stable_sort(all, {}, &candidate::distance);
     std::vector<host_choice> choices;
--- a/source/steering/lookup_plan.h
+++ b/source/steering/lookup_plan.h
@@ -42,12 +42,12 @@
 
 /// The slots that serve `id` in `domain`; 0 if one of its dependencies cannot be reached from
 /// there. A dependency is reachable if it is served in the same region or in a linked one.
-std::uint32_t usable_slots(const fleet& f, const capacity_index& places,
+std::uint32_t usable_slots(const fleet& f, const capacity_index& capacity,
                            const failure_domain_id& domain, const service_id& id);
 
 /// The hosts for callers near `near_region`: first those at the smallest distance that can serve,
 /// weighted by the slots behind them, then those of other regions with weight 0.
-std::vector<host_choice> choose_hosts(const fleet& f, const capacity_index& places,
+std::vector<host_choice> choose_hosts(const fleet& f, const capacity_index& capacity,
                                       const service_id& id, const region_id& near_region);
 
 /// Encodes the lookup answer as JSON: service, generation, ttl_ms and hosts with address, domain
