--- a/source/steering/route_table.cpp
+++ b/source/steering/route_table.cpp
@@ -46,7 +46,7 @@
     return rule == found->second.end() ? nullptr : &*rule;
 }
 
-std::string choose_part(const route_rule& rule, std::mt19937_64& random)
+std::string choose_service(const route_rule& rule, std::mt19937_64& random)
 {
     double all = 0;
     for (const auto& part : rule.parts) {
--- a/source/steering/route_table.h
+++ b/source/steering/route_table.h
@@ -28,6 +28,6 @@
 const route_rule* find_rule(const route_table& table, std::string_view host, std::string_view path);
 
 /// Picks the service for a request at random, in proportion to the weights of the rule's parts.
-std::string choose_part(const route_rule& rule, std::mt19937_64& random);
+std::string choose_service(const route_rule& rule, std::mt19937_64& random);
 
 } // namespace almondquay
--- a/source/traffic/request_rules.cpp
+++ b/source/traffic/request_rules.cpp
@@ -63,7 +63,7 @@
 void apply_rule(worker& w, caller_request& request)
 {
     const auto& rule = *request.rule;
-    request.service = choose_part(rule, w.random);
+    request.service = choose_service(rule, w.random);
     request.deadline = request.started + deadline_of(w, *request.parser, rule.timeout);
     request.repeatable = rule.repeatable;
     const auto object = rule.by_object
--- a/unit_tests/steering/route_table_test.cpp
+++ b/unit_tests/steering/route_table_test.cpp
@@ -62,7 +62,7 @@
         std::map<std::string, int> counts;
         constexpr int requests = 10'000;
         for (int i = 0; i < requests; ++i) {
-            ++counts[choose_part(rule, random)];
+            ++counts[choose_service(rule, random)];
         }
         CPPUNIT_ASSERT_DOUBLES_EQUAL(0.9, counts["a"] / double{requests}, 0.02);
         CPPUNIT_ASSERT_EQUAL(0, counts["c"]);
