--- a/source/control/snapshot_builder.cpp
+++ b/source/control/snapshot_builder.cpp
@@ -125,12 +125,12 @@
     const auto receivers = hosts_of(state.fleet.text, g.to);
     const auto live = places.hosts.find(g.to);
     const target_id name("spill/" + g.to.value + "/" + g.of_service.value);
-    const auto own = share_of(g.in_flight, first_of(name), place.position, place.hosts);
+    const auto own = share_of(g.in_flight, hashed_position(name), place.position, place.hosts);
     for (std::size_t i = 0; i < receivers.size(); ++i) {
         target_route route;
         route.id.value = name.value + "/" + receivers[i]->id.value;
         route.address = receivers[i]->callers;
-        route.slots = share_of(own, first_of(name), i, receivers.size());
+        route.slots = share_of(own, hashed_position(name), i, receivers.size());
         route.is_spill = true;
         const auto paths = static_cast<double>(place.hosts * receivers.size());
         const auto rate = g.rate.value * bits_per_megabit / bits_per_byte / paths;
--- a/source/steering/slot_share.cpp
+++ b/source/steering/slot_share.cpp
@@ -15,7 +15,7 @@
     return static_cast<std::uint32_t>(whole / hosts + (turn < remainder ? 1 : 0));
 }
 
-std::size_t first_of(const target_id& name)
+std::size_t hashed_position(const target_id& name)
 {
     return XXH3_64bits(name.value.data(), name.value.size());
 }
--- a/source/steering/slot_share.h
+++ b/source/steering/slot_share.h
@@ -15,6 +15,6 @@
                        std::size_t hosts);
 
 /// A pseudo-random starting position, for a target that is not balanced together with others.
-std::size_t first_of(const target_id& name);
+std::size_t hashed_position(const target_id& name);
 
 } // namespace almondquay
