--- a/source/steering/route_table.cpp
+++ b/source/steering/route_table.cpp
@@ -28,8 +28,8 @@
     for (const auto& rule : rules) {
         table->by_host[lower(rule.host)].push_back(rule);
     }
-    for (auto& [host, of_host] : table->by_host) {
-        std::ranges::stable_sort(of_host, std::greater{}, prefix_size);
+    for (auto& [host, host_rules] : table->by_host) {
+        std::ranges::stable_sort(host_rules, std::greater{}, prefix_size);
     }
     return table;
 }
