--- a/source/steering/slot_share.cpp
+++ b/source/steering/slot_share.cpp
@@ -10,9 +10,9 @@
     if (hosts == 0 || position >= hosts) {
         return 0;
     }
-    const auto turn = (position + hosts - first % hosts) % hosts;
+    const auto offset = (position + hosts - first % hosts) % hosts;
     const auto remainder = whole % hosts;
-    return static_cast<std::uint32_t>(whole / hosts + (turn < remainder ? 1 : 0));
+    return static_cast<std::uint32_t>(whole / hosts + (offset < remainder ? 1 : 0));
 }
 
 std::size_t hashed_position(const target_id& name)
