--- a/unit_tests/steering/steering_test.cpp
+++ b/unit_tests/steering/steering_test.cpp
@@ -87,7 +87,7 @@
                                        "f"));
 }
 
-availability_view all_alive()
+availability_view all_hosts_live()
 {
     availability_view availability;
     for (const auto* name : {"w1", "w2", "e1", "x1"}) {
@@ -179,17 +179,17 @@
     void answers_name_the_nearest_place_that_can_serve()
     {
         const auto f = sample_fleet();
-        CPPUNIT_ASSERT_EQUAL(std::string("w1:1 w2:1 "), chosen(f, all_alive(), "top", "west"));
-        CPPUNIT_ASSERT_EQUAL(std::string("e1:3 "), chosen(f, all_alive(), "base", "west"));
+        CPPUNIT_ASSERT_EQUAL(std::string("w1:1 w2:1 "), chosen(f, all_hosts_live(), "top", "west"));
+        CPPUNIT_ASSERT_EQUAL(std::string("e1:3 "), chosen(f, all_hosts_live(), "base", "west"));
     }
 
     void a_place_needs_what_its_service_depends_on()
     {
         // Domain x has a target of "top" but no link to where "base" runs.
         const auto f = sample_fleet();
-        CPPUNIT_ASSERT_EQUAL(0U, usable_slots(f, make_capacity_index(f, all_alive()),
+        CPPUNIT_ASSERT_EQUAL(0U, usable_slots(f, make_capacity_index(f, all_hosts_live()),
                                               failure_domain_id("x"), service_id("top")));
-        auto availability = all_alive();
+        auto availability = all_hosts_live();
         availability.dead_targets.insert(target_id("b"));
         CPPUNIT_ASSERT_EQUAL(std::string(), chosen(f, availability, "top", "west"));
     }
@@ -197,12 +197,12 @@
     void drained_and_dead_places_leave_the_answers()
     {
         const auto f = sample_fleet();
-        auto availability = all_alive();
+        auto availability = all_hosts_live();
         availability.live_hosts.erase(host_id("w1"));
         CPPUNIT_ASSERT_EQUAL(std::string("w2:3 "), chosen(f, availability, "top", "west"));
         set_mark(availability.drains, {drain_kind::host, "w2"}, true);
         CPPUNIT_ASSERT_EQUAL(std::string(), chosen(f, availability, "top", "west"));
-        availability = all_alive();
+        availability = all_hosts_live();
         set_mark(availability.drains, {drain_kind::region, "east"}, true);
         CPPUNIT_ASSERT_EQUAL(std::string(), chosen(f, availability, "base", "east"));
     }
