--- a/source/control/membership.cpp
+++ b/source/control/membership.cpp
@@ -200,7 +200,7 @@
                  {"incarnation", std::to_string(m.life.value)}}});
 }
 
-void mark_alive(control_state& state, const event& e, const member_beat& beat, bool is_new,
+void mark_alive(control_state& state, const event& e, const member_heartbeat& beat, bool is_new,
                 effects& out)
 {
     note_hosts_changed(state);
@@ -217,7 +217,7 @@
 /// Declares a host dead that another host reports as dead, unless a newer heartbeat is known. A
 /// host that is not known yet is recorded as dead, so that its older heartbeats, which may still
 /// arrive, are ignored.
-void take_death(control_state& state, const event& e, const member_beat& beat, effects& out)
+void take_death(control_state& state, const event& e, const member_heartbeat& beat, effects& out)
 {
     auto [place, is_new] = state.membership.members.try_emplace(beat.id);
     auto& m = place->second;
@@ -233,7 +233,7 @@
     }
 }
 
-void take_beat(control_state& state, const event& e, const member_beat& beat, effects& out)
+void take_beat(control_state& state, const event& e, const member_heartbeat& beat, effects& out)
 {
     if (beat.id == state.self.host) {
         return;
--- a/source/control/probing.cpp
+++ b/source/control/probing.cpp
@@ -37,10 +37,10 @@
     return ring;
 }
 
-member_beat known_beat(const control_state& state, const host_id& id)
+member_heartbeat known_beat(const control_state& state, const host_id& id)
 {
     const auto found = state.membership.members.find(id);
-    member_beat known;
+    member_heartbeat known;
     known.id = id;
     if (found != state.membership.members.end()) {
         const auto& m = found->second;
@@ -80,7 +80,7 @@
     std::erase_if(probed, [&](const auto& entry) { return !asked.contains(entry.first); });
 }
 
-void answer_suspicion(control_state& state, const event& e, const member_beat& suspected,
+void answer_suspicion(control_state& state, const event& e, const member_heartbeat& suspected,
                       const endpoint& asker, effects& out)
 {
     if (suspected.id == state.self.host) {
--- a/source/peer/gossip_message.cpp
+++ b/source/peer/gossip_message.cpp
@@ -17,13 +17,13 @@
 constexpr unsigned starting_flag = 4;
 constexpr unsigned direct_flag = 8;
 
-unsigned flags_of(const member_beat& b)
+unsigned flags_of(const member_heartbeat& b)
 {
     return (b.leaving ? leaving_flag : 0) | (b.dead ? dead_flag : 0) |
            (b.starting ? starting_flag : 0) | (b.direct ? direct_flag : 0);
 }
 
-json encode_beats(const std::vector<member_beat>& beats)
+json encode_beats(const std::vector<member_heartbeat>& beats)
 {
     json rows = json::array();
     for (const auto& b : beats) {
@@ -32,11 +32,11 @@
     return rows;
 }
 
-std::vector<member_beat> decode_beats(const json& rows)
+std::vector<member_heartbeat> decode_beats(const json& rows)
 {
-    std::vector<member_beat> beats;
+    std::vector<member_heartbeat> beats;
     for (const auto& value : rows) {
-        member_beat beat;
+        member_heartbeat beat;
         beat.id.value = value.at(0).get<std::string>();
         beat.life.value = value.at(1).get<std::uint64_t>();
         beat.beat = value.at(2).get<std::uint64_t>();
--- a/source/peer/gossip_message.h
+++ b/source/peer/gossip_message.h
@@ -16,7 +16,7 @@
 namespace almondquay {
 
 /// The latest heartbeat of one host that the sender knows. A higher (life, beat) is newer.
-struct member_beat {
+struct member_heartbeat {
     host_id id;
     incarnation life;
     std::uint64_t beat = 0;
@@ -25,7 +25,7 @@
     bool starting = false; ///< not serving yet
     bool direct = false;   ///< received by the sender from the host itself a moment ago
 
-    bool operator==(const member_beat&) const = default;
+    bool operator==(const member_heartbeat&) const = default;
 };
 
 struct gossip_message {
@@ -33,15 +33,16 @@
     hybrid_time time;
     generation in_force;           ///< 0 if the sender has no configuration
     std::uint64_t fingerprint = 0; ///< of the envelope in force
-    std::vector<member_beat> beats;
+    std::vector<member_heartbeat> beats;
     inventory_revisions inventory{}; ///< revisions of the sender's copies of the store's lists
     /// Time since the sender's copy of each list was last known to be current, at most
     /// `never_confirmed`.
     inventory_ages confirmed{never_confirmed, never_confirmed, never_confirmed, never_confirmed};
-    bool wants_answer = false;            ///< liveness probe: the receiver is to reply with gossip
-    std::string news{};                   ///< an encoded inventory_copy of the latest changes
-    endpoint answer_to{};                 ///< where to reply, if the message asks for a reply
-    std::vector<member_beat> suspects{};  ///< suspected hosts, to be refuted by newer heartbeats
+    bool wants_answer = false; ///< liveness probe: the receiver is to reply with gossip
+    std::string news{};        ///< an encoded inventory_copy of the latest changes
+    endpoint answer_to{};      ///< where to reply, if the message asks for a reply
+    std::vector<member_heartbeat>
+        suspects{};                       ///< suspected hosts, to be refuted by newer heartbeats
     std::vector<target_id> unreachable{}; ///< targets that refused the sender's connections
 
     bool operator==(const gossip_message&) const = default;
