--- a/source/control/membership.cpp
+++ b/source/control/membership.cpp
@@ -13,7 +13,7 @@
 
 constexpr std::size_t max_near_beats = 5;
 constexpr std::size_t max_far_beats = 5;
-static_assert(1 + max_near_beats + max_far_beats <= max_beats_per_message);
+static_assert(1 + max_near_beats + max_far_beats <= max_heartbeats_per_message);
 /// In regions with more hosts only those of the same failure domain are near.
 constexpr std::size_t max_hosts_of_near_region = 6;
 /// Announcements go to all hosts in fleets up to this size, to the near hosts in larger ones.
--- a/source/peer/gossip_message.h
+++ b/source/peer/gossip_message.h
@@ -50,7 +50,7 @@
 
 /// Keeps datagrams below the usual path MTU less headers; the sender truncates longer lists.
 constexpr std::size_t max_datagram_bytes = 1'400;
-constexpr std::size_t max_beats_per_message = 24;
+constexpr std::size_t max_heartbeats_per_message = 24;
 /// Larger inventory changes are not sent by gossip; peers request them.
 constexpr std::size_t max_news_bytes = 900;
 
--- a/unit_tests/peer/peer_test.cpp
+++ b/unit_tests/peer/peer_test.cpp
@@ -81,7 +81,7 @@
     {
         auto message = sample_message();
         message.beats.clear();
-        for (std::size_t i = 0; i < max_beats_per_message; ++i) {
+        for (std::size_t i = 0; i < max_heartbeats_per_message; ++i) {
             message.beats.push_back({host_id("gaziantep-a-" + std::to_string(100 + i)),
                                      incarnation(1'800'000'000'000), 1U << 31U, false, false});
         }
