--- a/source/peer/gossip_message.cpp
+++ b/source/peer/gossip_message.cpp
@@ -23,7 +23,7 @@
            (b.starting ? starting_flag : 0) | (b.direct ? direct_flag : 0);
 }
 
-json encode_beats(const std::vector<member_heartbeat>& beats)
+json encode_heartbeats(const std::vector<member_heartbeat>& beats)
 {
     json rows = json::array();
     for (const auto& b : beats) {
@@ -68,8 +68,8 @@
     }
     const json whole = json::array(
         {message.from.value, message.time.wall_ms, message.time.counter, message.in_force.value,
-         message.fingerprint, encode_beats(message.beats), std::move(inventory),
-         std::move(confirmed), message.wants_answer, encode_beats(message.suspects),
+         message.fingerprint, encode_heartbeats(message.beats), std::move(inventory),
+         std::move(confirmed), message.wants_answer, encode_heartbeats(message.suspects),
          message.answer_to.address, message.answer_to.port, message.news, std::move(unreachable)});
     const auto bytes = json::to_cbor(whole);
     std::string body(bytes.begin(), bytes.end());
