--- a/source/peer/gossip_message.cpp
+++ b/source/peer/gossip_message.cpp
@@ -32,7 +32,7 @@
     return rows;
 }
 
-std::vector<member_heartbeat> decode_beats(const json& rows)
+std::vector<member_heartbeat> decode_heartbeats(const json& rows)
 {
     std::vector<member_heartbeat> beats;
     for (const auto& value : rows) {
@@ -93,9 +93,9 @@
         message.time.counter = whole.at(2).get<std::uint32_t>();
         message.in_force.value = whole.at(3).get<std::uint64_t>();
         message.fingerprint = whole.at(4).get<std::uint64_t>();
-        message.beats = decode_beats(whole.at(5));
+        message.beats = decode_heartbeats(whole.at(5));
         message.wants_answer = whole.at(8).get<bool>();
-        message.suspects = decode_beats(whole.at(9));
+        message.suspects = decode_heartbeats(whole.at(9));
         message.answer_to.address = whole.at(10).get<std::string>();
         message.answer_to.port = whole.at(11).get<std::uint16_t>();
         message.news = whole.at(12).get<std::string>();
