--- a/source/control/peer_inventory.cpp
+++ b/source/control/peer_inventory.cpp
@@ -308,7 +308,7 @@
     have.at(static_cast<std::size_t>(kind)) = since;
     const bool is_known = since.value != 0 && knows_changes(state.inventory, kind, since);
     auto text = is_known ? encode(copy_of(state, have, state.now)) : std::string();
-    return text.size() <= max_news_bytes ? text : std::string();
+    return text.size() <= max_recent_changes_bytes ? text : std::string();
 }
 
 void take_news(control_state& state, const event& e, const gossip_message& message, effects& out)
--- a/source/peer/gossip_message.h
+++ b/source/peer/gossip_message.h
@@ -52,7 +52,7 @@
 constexpr std::size_t max_datagram_bytes = 1'400;
 constexpr std::size_t max_heartbeats_per_message = 24;
 /// Larger inventory changes are not sent by gossip; peers request them.
-constexpr std::size_t max_news_bytes = 900;
+constexpr std::size_t max_recent_changes_bytes = 900;
 
 /// Encodes as CBOR, preceded by a signature of all bytes that follow it.
 std::string encode(const gossip_message& message, const shared_secret& secret);
