--- a/source/control/probing.cpp
+++ b/source/control/probing.cpp
@@ -52,7 +52,7 @@
 void ask_for_sign(control_state& state, const host& neighbour, effects& out)
 {
     auto message = make_message(state);
-    message.wants_answer = true;
+    message.wants_reply = true;
     message.answer_to = state.self.registration.peers;
     out.emplace_back(send_gossip_effect{neighbour.peers, std::move(message)});
 }
@@ -153,7 +153,7 @@
                 const endpoint& peer, effects& out)
 {
     auto& membership = state.membership;
-    if (message.wants_answer) {
+    if (message.wants_reply) {
         out.emplace_back(send_gossip_effect{peer, make_message(state)});
     }
     for (const auto& suspected : message.suspects) {
--- a/source/peer/gossip_message.cpp
+++ b/source/peer/gossip_message.cpp
@@ -69,7 +69,7 @@
     const json whole = json::array(
         {message.from.value, message.time.wall_ms, message.time.counter, message.in_force.value,
          message.fingerprint, encode_heartbeats(message.beats), std::move(inventory),
-         std::move(confirmed), message.wants_answer, encode_heartbeats(message.suspects),
+         std::move(confirmed), message.wants_reply, encode_heartbeats(message.suspects),
          message.answer_to.address, message.answer_to.port, message.news, std::move(unreachable)});
     const auto bytes = json::to_cbor(whole);
     std::string body(bytes.begin(), bytes.end());
@@ -94,7 +94,7 @@
         message.in_force.value = whole.at(3).get<std::uint64_t>();
         message.fingerprint = whole.at(4).get<std::uint64_t>();
         message.beats = decode_heartbeats(whole.at(5));
-        message.wants_answer = whole.at(8).get<bool>();
+        message.wants_reply = whole.at(8).get<bool>();
         message.suspects = decode_heartbeats(whole.at(9));
         message.answer_to.address = whole.at(10).get<std::string>();
         message.answer_to.port = whole.at(11).get<std::uint16_t>();
