--- a/source/peer/inventory_copy.cpp
+++ b/source/peer/inventory_copy.cpp
@@ -87,7 +87,7 @@
     return revisions;
 }
 
-gone_entry decode_gone(const json& row)
+removed_entry decode_gone(const json& row)
 {
     const auto kind = row.at(0).get<std::size_t>();
     if (kind >= inventory_kinds) {
--- a/source/peer/inventory_copy.h
+++ b/source/peer/inventory_copy.h
@@ -12,12 +12,12 @@
 
 /// An entry that is no longer listed. A target whose entry expired while the store was unavailable
 /// remains in use for a grace period.
-struct gone_entry {
+struct removed_entry {
     inventory_kind kind = inventory_kind::targets;
     std::string name;
     std::chrono::milliseconds kept_for{0}; ///< remaining grace period; 0: removed already
 
-    bool operator==(const gone_entry&) const = default;
+    bool operator==(const removed_entry&) const = default;
 };
 
 struct inventory_copy {
@@ -27,7 +27,7 @@
     std::vector<registered_target> targets; ///< with the remainder of their cold time
     std::vector<host> hosts;
     std::vector<failure_domain_id> evacuated;
-    std::vector<gone_entry> gone;
+    std::vector<removed_entry> gone;
 };
 
 /// Encodes as JSON.
