--- a/source/peer/inventory_copy.cpp
+++ b/source/peer/inventory_copy.cpp
@@ -87,7 +87,7 @@
     return revisions;
 }
 
-removed_entry decode_gone(const json& row)
+removed_entry decode_removed(const json& row)
 {
     const auto kind = row.at(0).get<std::size_t>();
     if (kind >= inventory_kinds) {
@@ -113,7 +113,7 @@
         copy.evacuated.emplace_back(domain.get<std::string>());
     }
     for (const auto& row : whole.at("gone")) {
-        copy.gone.push_back(decode_gone(row));
+        copy.gone.push_back(decode_removed(row));
     }
     return copy;
 }
