--- a/source/control/effect.h
+++ b/source/control/effect.h
@@ -41,7 +41,7 @@
 
 /// Queries the store's inventory. Completes with an inventory_read_event.
 struct ask_inventory_effect {
-    inventory_question question;
+    inventory_query question;
 };
 
 /// Registers this host in the store. Completes with a host_registered_event.
--- a/source/control/inventory_sync.cpp
+++ b/source/control/inventory_sync.cpp
@@ -80,7 +80,7 @@
     auto& list = list_of(state.inventory, kind);
     list.call_running = true;
     list.behind_since = {};
-    inventory_question question;
+    inventory_query question;
     question.kind = kind;
     question.follow = list.is_following;
     question.after = list.page_after;
@@ -164,7 +164,7 @@
 
 /// Applies a page of a list that is being read completely. The list's revision changes only with
 /// its last page: until then neither this host nor a peer may rely on the list.
-void take_list_page(control_state& state, const event& e, const inventory_question& question,
+void take_list_page(control_state& state, const event& e, const inventory_query& question,
                     const inventory_page& page, effects& out)
 {
     auto& list = list_of(state.inventory, question.kind);
@@ -201,7 +201,7 @@
     state.inventory.repeats_announcement = true;
 }
 
-void take_changes(control_state& state, const event& e, const inventory_question& question,
+void take_changes(control_state& state, const event& e, const inventory_query& question,
                   const inventory_page& page, effects& out)
 {
     auto& list = list_of(state.inventory, question.kind);
@@ -227,7 +227,7 @@
     }
 }
 
-void take_page(control_state& state, const event& e, const inventory_question& question,
+void take_page(control_state& state, const event& e, const inventory_query& question,
                const inventory_page& page, effects& out)
 {
     for (const auto& item : page.items) {
--- a/source/store/http_object_store.cpp
+++ b/source/store/http_object_store.cpp
@@ -158,7 +158,7 @@
                   });
 }
 
-void http_object_store::ask(const inventory_question& question, page_handler handler)
+void http_object_store::ask(const inventory_query& question, page_handler handler)
 {
     ++(question.follow ? counts_.watches : counts_.reads);
     client_->send(platform_, protocol_.encode_question(question), timeout_ + question.wait,
--- a/source/store/inventory.h
+++ b/source/store/inventory.h
@@ -74,7 +74,7 @@
 
 /// A read of a list's page or, with `follow`, of the changes after `since`, by long polling for up
 /// to `wait`.
-struct inventory_question {
+struct inventory_query {
     inventory_kind kind = inventory_kind::configuration;
     bool follow = false;
     std::string after;    ///< for a list: the name after which the page begins
--- a/source/store/store_protocol.h
+++ b/source/store/store_protocol.h
@@ -10,11 +10,11 @@
 
 struct store_protocol {
     /// Encodes the HTTP request for `question`.
-    http::request (*encode_question)(const inventory_question& question) = nullptr;
+    http::request (*encode_question)(const inventory_query& question) = nullptr;
 
     /// Decodes the response. Errors: those of all store calls, and platform_history_lost if the
     /// store no longer keeps the changes since that revision.
-    result<inventory_page> (*decode_page)(const inventory_question& question,
+    result<inventory_page> (*decode_page)(const inventory_query& question,
                                           const http::response& answer) = nullptr;
 
     /// Encodes the HTTP request that registers this host as an entry host.
--- a/unit_tests/control/inventory_test.cpp
+++ b/unit_tests/control/inventory_test.cpp
@@ -86,10 +86,10 @@
 }
 
 /// The query of this kind that the store has not answered yet.
-inventory_question question_of(const control_state& state, inventory_kind kind)
+inventory_query question_of(const control_state& state, inventory_kind kind)
 {
     const auto& list = state.inventory.lists.at(static_cast<std::size_t>(kind));
-    inventory_question question;
+    inventory_query question;
     question.kind = kind;
     question.follow = list.is_following;
     question.after = list.page_after;
--- a/unit_tests/control/store_world.cpp
+++ b/unit_tests/control/store_world.cpp
@@ -259,7 +259,7 @@
     });
 }
 
-void store_world::ask(const host_id& id, const inventory_question& question)
+void store_world::ask(const host_id& id, const inventory_query& question)
 {
     ++hosts_.at(id)->calls;
     const auto life = hosts_.at(id)->life;
--- a/unit_tests/platform/registry_test.cpp
+++ b/unit_tests/platform/registry_test.cpp
@@ -139,7 +139,7 @@
 
     void pages_and_changes_are_read()
     {
-        inventory_question question;
+        inventory_query question;
         question.kind = inventory_kind::targets;
         const json list{{"items", json::array({good_target(), 5})}, {"has_more", true}, {"at", 9}};
         const auto page = registry_protocol.decode_page(question, {200, {}, list.dump()});
