--- a/source/store/http_object_store.cpp
+++ b/source/store/http_object_store.cpp
@@ -161,7 +161,7 @@
 void http_object_store::ask(const inventory_query& question, page_handler handler)
 {
     ++(question.follow ? counts_.watches : counts_.reads);
-    client_->send(platform_, protocol_.encode_question(question), timeout_ + question.wait,
+    client_->send(platform_, protocol_.encode_query(question), timeout_ + question.wait,
                   [question, decode = protocol_.decode_page,
                    handler = std::move(handler)](const result<http::response>& answer) {
                       handler(succeeded(answer)
--- a/source/store/store_protocol.h
+++ b/source/store/store_protocol.h
@@ -10,7 +10,7 @@
 
 struct store_protocol {
     /// Encodes the HTTP request for `question`.
-    http::request (*encode_question)(const inventory_query& question) = nullptr;
+    http::request (*encode_query)(const inventory_query& question) = nullptr;
 
     /// Decodes the response. Errors: those of all store calls, and platform_history_lost if the
     /// store no longer keeps the changes since that revision.
