--- a/source/control/inventory_sync.cpp
+++ b/source/control/inventory_sync.cpp
@@ -142,7 +142,7 @@
     store_revision latest;
     for (const auto& item : page.items) {
         const bool is_told =
-            item.revision.value != 0 && !std::holds_alternative<absent_entry>(item.entry);
+            item.revision.value != 0 && !std::holds_alternative<deleted_entry>(item.entry);
         latest = std::max(latest, is_told ? item.revision : page.at);
     }
     return latest;
@@ -260,7 +260,7 @@
     for (const auto& [id, m] : state.membership.members) {
         if (!m.alive && e.now - m.last_advance > long_dead && state.inventory.hosts.contains(id)) {
             out.emplace_back(remove_host_effect{id});
-            take_item(state, e, inventory_kind::hosts, {id.value, absent_entry{}}, out);
+            take_item(state, e, inventory_kind::hosts, {id.value, deleted_entry{}}, out);
             return;
         }
     }
--- a/source/store/inventory.h
+++ b/source/store/inventory.h
@@ -53,13 +53,13 @@
 };
 
 /// The entry was deleted.
-struct absent_entry {
-    bool operator==(const absent_entry&) const = default;
+struct deleted_entry {
+    bool operator==(const deleted_entry&) const = default;
 };
 
 struct inventory_item {
     std::string name; ///< unique within its kind
-    std::variant<absent_entry, unreadable_entry, fleet_envelope, registered_target, evacuation,
+    std::variant<deleted_entry, unreadable_entry, fleet_envelope, registered_target, evacuation,
                  host>
         entry;
     store_revision revision{}; ///< of its last change; 0: not known
--- a/unit_tests/control/inventory_test.cpp
+++ b/unit_tests/control/inventory_test.cpp
@@ -327,7 +327,7 @@
         answer(state, seconds(6), inventory_kind::targets, {}, 20); // The store is reachable again.
         const milliseconds deleted{7'100};
         tick_until(state, seconds(6), deleted);
-        answer(state, deleted, inventory_kind::targets, {{"t", absent_entry{}}}, 21);
+        answer(state, deleted, inventory_kind::targets, {{"t", deleted_entry{}}}, 21);
         const milliseconds longest_pause_before_it{1'000};
         tick_until(state, deleted, deleted + drain_time - longest_pause_before_it);
         CPPUNIT_ASSERT(!knows(state, "t"));
@@ -427,7 +427,7 @@
         answer(late, milliseconds(200), inventory_kind::targets, {changed}, 40);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{15}, revisions_of(late.inventory).at(kind).value);
         tick_until(late, milliseconds(250), milliseconds(1'000)); // Queries again.
-        answer(late, milliseconds(1'200), inventory_kind::targets, {{"t", absent_entry{}}}, 50);
+        answer(late, milliseconds(1'200), inventory_kind::targets, {{"t", deleted_entry{}}}, 50);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{50}, revisions_of(late.inventory).at(kind).value);
     }
 
@@ -472,7 +472,7 @@
     {
         auto peer = serving_state({item_of(target_of("t")), item_of(target_of("u"))}, 2);
         fail(peer, seconds(2), inventory_kind::evacuations, result_code::platform_unavailable);
-        answer(peer, seconds(2), inventory_kind::targets, {{"t", absent_entry{}}}, 20);
+        answer(peer, seconds(2), inventory_kind::targets, {{"t", deleted_entry{}}}, 20);
         CPPUNIT_ASSERT(knows(peer, "t")); // It may still register again.
 
         auto state = serving_state({item_of(target_of("t")), item_of(target_of("u"))});
@@ -538,7 +538,7 @@
         CPPUNIT_ASSERT(!is_usable(begun, "t"));
         CPPUNIT_ASSERT(is_usable(begun, "u"));
         const auto over =
-            answer(state, seconds(9), inventory_kind::evacuations, {{"a", absent_entry{}}}, 12);
+            answer(state, seconds(9), inventory_kind::evacuations, {{"a", deleted_entry{}}}, 12);
         CPPUNIT_ASSERT(is_usable(over, "t"));
         CPPUNIT_ASSERT(state.inventory.targets.at(target_id("t")).cold_until >
                        monotonic_time(seconds(11)));
@@ -579,7 +579,7 @@
         auto state = serving_state({item_of(target_of("t"))});
         auto replaced = question_of(state, inventory_kind::targets);
         --replaced.number;
-        const inventory_page page{{{"t", absent_entry{}}}, store_revision(11), false};
+        const inventory_page page{{{"t", deleted_entry{}}}, store_revision(11), false};
         reduce(state, at(seconds(1), inventory_read_event{replaced, page}));
         CPPUNIT_ASSERT(knows(state, "t"));
     }
--- a/unit_tests/control/store_world.cpp
+++ b/unit_tests/control/store_world.cpp
@@ -298,7 +298,7 @@
             if (c.kind == question.kind && c.at > question.since && names.insert(c.name).second) {
                 const auto found = known.find(c.name);
                 page.items.push_back(found == known.end()
-                                         ? inventory_item{c.name, absent_entry{}, revision_}
+                                         ? inventory_item{c.name, deleted_entry{}, revision_}
                                          : found->second);
             }
         }
--- a/unit_tests/platform/registry_test.cpp
+++ b/unit_tests/platform/registry_test.cpp
@@ -134,7 +134,7 @@
     {
         const json other{{"metadata", {{"name", "draft"}}}, {"spec", manifest()}};
         const auto item = decode_item(inventory_kind::configuration, other);
-        CPPUNIT_ASSERT(std::holds_alternative<absent_entry>(item.entry));
+        CPPUNIT_ASSERT(std::holds_alternative<deleted_entry>(item.entry));
     }
 
     void pages_and_changes_are_read()
@@ -149,7 +149,7 @@
         const json gone{{"object", good_target()}, {"deleted", true}};
         const json changes{{"events", json::array({gone})}, {"at", 11}};
         const auto change = registry_protocol.decode_page(question, {200, {}, changes.dump()});
-        CPPUNIT_ASSERT(std::holds_alternative<absent_entry>(value_of(change).items[0].entry));
+        CPPUNIT_ASSERT(std::holds_alternative<deleted_entry>(value_of(change).items[0].entry));
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{11}, value_of(change).at.value);
     }
 
