--- a/source/store/http_object_store.cpp
+++ b/source/store/http_object_store.cpp
@@ -170,21 +170,21 @@
                   });
 }
 
-/// `harmless_status` is the error status that means that the requested state already holds.
-void http_object_store::change_hosts(http::request call, unsigned harmless_status,
+/// `already_done_status` is the error status that means that the requested state already holds.
+void http_object_store::change_hosts(http::request call, unsigned already_done_status,
                                      done_handler handler)
 {
     ++counts_.writes;
     client_->send(
         platform_, std::move(call), timeout_,
-        [harmless_status, handler = std::move(handler)](const result<http::response>& answer) {
+        [already_done_status, handler = std::move(handler)](const result<http::response>& answer) {
             if (!succeeded(answer)) {
                 handler(to_platform_error(error_of(answer)));
                 return;
             }
             const auto status = value_of(answer).status;
             const bool is_done = status == http::status_ok || status == http::status_created ||
-                                 status == http::status_no_content || status == harmless_status;
+                                 status == http::status_no_content || status == already_done_status;
             handler(is_done ? result<done>(done{})
                             : result<done>(to_platform_error(value_of(answer))));
         });
