--- a/source/store/http_object_store.cpp
+++ b/source/store/http_object_store.cpp
@@ -171,8 +171,8 @@
 }
 
 /// `already_done_status` is the error status that means that the requested state already holds.
-void http_object_store::change_hosts(http::request call, unsigned already_done_status,
-                                     done_handler handler)
+void http_object_store::send_host_change(http::request call, unsigned already_done_status,
+                                         done_handler handler)
 {
     ++counts_.writes;
     client_->send(
@@ -192,12 +192,13 @@
 
 void http_object_store::register_host(const host& self, done_handler handler)
 {
-    change_hosts(protocol_.encode_registration(self), http::status_conflict, std::move(handler));
+    send_host_change(protocol_.encode_registration(self), http::status_conflict,
+                     std::move(handler));
 }
 
 void http_object_store::remove_host(const host_id& id, done_handler handler)
 {
-    change_hosts(protocol_.encode_removal(id), http::status_not_found, std::move(handler));
+    send_host_change(protocol_.encode_removal(id), http::status_not_found, std::move(handler));
 }
 
 } // namespace almondquay
--- a/source/store/http_object_store.h
+++ b/source/store/http_object_store.h
@@ -49,7 +49,7 @@
 
     void put(const std::string& key, http::header condition, std::string body,
              version_handler handler);
-    void change_hosts(http::request call, unsigned already_done_status, done_handler handler);
+    void send_host_change(http::request call, unsigned already_done_status, done_handler handler);
 
     std::unique_ptr<http::client> client_;
     endpoint platform_;
