--- a/source/store/http_object_store.cpp
+++ b/source/store/http_object_store.cpp
@@ -158,14 +158,14 @@
                   });
 }
 
-void http_object_store::ask(const inventory_query& question, page_handler handler)
+void http_object_store::ask(const inventory_query& query, page_handler handler)
 {
-    ++(question.follow ? counts_.watches : counts_.reads);
-    client_->send(platform_, protocol_.encode_query(question), timeout_ + question.wait,
-                  [question, decode = protocol_.decode_page,
+    ++(query.follow ? counts_.watches : counts_.reads);
+    client_->send(platform_, protocol_.encode_query(query), timeout_ + query.wait,
+                  [query, decode = protocol_.decode_page,
                    handler = std::move(handler)](const result<http::response>& answer) {
                       handler(succeeded(answer)
-                                  ? decode(question, value_of(answer))
+                                  ? decode(query, value_of(answer))
                                   : result<inventory_page>(to_platform_error(error_of(answer))));
                   });
 }
--- a/source/store/store_protocol.h
+++ b/source/store/store_protocol.h
@@ -9,12 +9,12 @@
 namespace almondquay {
 
 struct store_protocol {
-    /// Encodes the HTTP request for `question`.
-    http::request (*encode_query)(const inventory_query& question) = nullptr;
+    /// Encodes the HTTP request for `query`.
+    http::request (*encode_query)(const inventory_query& query) = nullptr;
 
     /// Decodes the response. Errors: those of all store calls, and platform_history_lost if the
     /// store no longer keeps the changes since that revision.
-    result<inventory_page> (*decode_page)(const inventory_query& question,
+    result<inventory_page> (*decode_page)(const inventory_query& query,
                                           const http::response& answer) = nullptr;
 
     /// Encodes the HTTP request that registers this host as an entry host.
