--- a/source/control/membership.cpp
+++ b/source/control/membership.cpp
@@ -375,7 +375,7 @@
 void announce(control_state& state, effects& out)
 {
     auto message = make_message(state);
-    message.news = state.inventory.news;
+    message.recent_changes = state.inventory.news;
     const auto& text = state.fleet.text;
     const bool to_all = text.hosts.size() <= max_hosts_told_at_once;
     const auto home = region_of(text, state.self.domain);
--- a/source/control/peer_inventory.cpp
+++ b/source/control/peer_inventory.cpp
@@ -313,11 +313,12 @@
 
 void take_news(control_state& state, const event& e, const gossip_message& message, effects& out)
 {
-    if (message.news.empty() || !state.self.has_inventory || follows(state)) {
+    if (message.recent_changes.empty() || !state.self.has_inventory || follows(state)) {
         return;
     }
     take_peer_inventory(
-        state, e, peer_inventory_event{message.from.value, decode_inventory_copy(message.news)},
+        state, e,
+        peer_inventory_event{message.from.value, decode_inventory_copy(message.recent_changes)},
         out);
 }
 
