--- a/source/control/membership.cpp
+++ b/source/control/membership.cpp
@@ -352,7 +352,7 @@
 {
     state.clock = advance(state.clock, message.time, e.wall);
     const auto* peer = peer_endpoint(state, message.from);
-    const auto& answer_to = peer != nullptr ? *peer : message.answer_to;
+    const auto& answer_to = peer != nullptr ? *peer : message.reply_address;
     if (answer_to.port != 0) {
         take_probe(state, e, message, answer_to, out);
     }
--- a/source/control/probing.cpp
+++ b/source/control/probing.cpp
@@ -53,7 +53,7 @@
 {
     auto message = make_message(state);
     message.wants_reply = true;
-    message.answer_to = state.self.registration.peers;
+    message.reply_address = state.self.registration.peers;
     out.emplace_back(send_gossip_effect{neighbour.peers, std::move(message)});
 }
 
@@ -67,7 +67,7 @@
     std::ranges::shuffle(others, state.random);
     others.resize(std::min(others.size(), hosts_asked_to_refute));
     auto message = make_message(state);
-    message.answer_to = state.self.registration.peers;
+    message.reply_address = state.self.registration.peers;
     message.suspects.push_back(known_beat(state, silent.id));
     for (const auto* h : others) {
         out.emplace_back(send_gossip_effect{h->peers, message});
--- a/source/peer/gossip_message.cpp
+++ b/source/peer/gossip_message.cpp
@@ -70,8 +70,8 @@
         json::array({message.from.value, message.time.wall_ms, message.time.counter,
                      message.in_force.value, message.fingerprint, encode_heartbeats(message.beats),
                      std::move(inventory), std::move(confirmed), message.wants_reply,
-                     encode_heartbeats(message.suspects), message.answer_to.address,
-                     message.answer_to.port, message.recent_changes, std::move(unreachable)});
+                     encode_heartbeats(message.suspects), message.reply_address.address,
+                     message.reply_address.port, message.recent_changes, std::move(unreachable)});
     const auto bytes = json::to_cbor(whole);
     std::string body(bytes.begin(), bytes.end());
     return sign(secret, body) + body;
@@ -97,8 +97,8 @@
         message.beats = decode_heartbeats(whole.at(5));
         message.wants_reply = whole.at(8).get<bool>();
         message.suspects = decode_heartbeats(whole.at(9));
-        message.answer_to.address = whole.at(10).get<std::string>();
-        message.answer_to.port = whole.at(11).get<std::uint16_t>();
+        message.reply_address.address = whole.at(10).get<std::string>();
+        message.reply_address.port = whole.at(11).get<std::uint16_t>();
         message.recent_changes = whole.at(12).get<std::string>();
         constexpr std::size_t unreachable_place = 13; // Optional: earlier versions do not send it.
         if (whole.size() > unreachable_place) {
