--- a/benchmarks/fleet_change_benchmark.cpp
+++ b/benchmarks/fleet_change_benchmark.cpp
@@ -61,7 +61,7 @@
 {
     gossip_message message;
     message.from = make_host(1).id;
-    message.beats.push_back({make_host(n).id, incarnation(life), beat, false, false, false});
+    message.heartbeats.push_back({make_host(n).id, incarnation(life), beat, false, false, false});
     return message;
 }
 
--- a/source/control/membership.cpp
+++ b/source/control/membership.cpp
@@ -89,7 +89,7 @@
     entries.resize(std::min(entries.size(), most));
     for (const auto* entry : entries) {
         const auto& [id, m] = *entry;
-        message.beats.push_back({id, m.life, m.beat, m.leaving, !m.alive, m.starting});
+        message.heartbeats.push_back({id, m.life, m.beat, m.leaving, !m.alive, m.starting});
     }
 }
 
@@ -135,7 +135,7 @@
 std::size_t estimated_bytes(const gossip_message& message)
 {
     std::size_t bytes = bytes_per_message;
-    for (const auto& beat : message.beats) {
+    for (const auto& beat : message.heartbeats) {
         bytes += bytes_per_beat + beat.id.value.size();
     }
     return bytes;
@@ -280,7 +280,7 @@
     mark_dead(state, e, id, m, out);
     m.death_is_told = true;
     auto message = make_message(state);
-    message.beats.push_back({id, m.life, m.beat, m.leaving, true, m.starting});
+    message.heartbeats.push_back({id, m.life, m.beat, m.leaving, true, m.starting});
     std::map<failure_domain_id, std::size_t> told;
     for (const auto& [other, h] : state.fleet.text.hosts) {
         const bool is_enough =
@@ -318,7 +318,7 @@
     // depend on the set of live hosts.
     const bool is_early = state.self.has_inventory && state.stage == life_stage::starting;
     const bool leaving = state.stage == life_stage::leaving || state.stage == life_stage::ending;
-    message.beats.push_back(
+    message.heartbeats.push_back(
         {state.self.host, state.self.life, state.membership.own_beat, leaving, false, is_early});
     return message;
 }
@@ -356,7 +356,7 @@
     if (answer_to.port != 0) {
         take_probe(state, e, message, answer_to, out);
     }
-    for (const auto& beat : message.beats) {
+    for (const auto& beat : message.heartbeats) {
         take_beat(state, e, beat, out);
     }
     if (peer == nullptr) {
--- a/source/control/probing.cpp
+++ b/source/control/probing.cpp
@@ -164,7 +164,7 @@
         probed->second.silent_since = e.now;
         probed->second.suspected_at = {};
     }
-    for (const auto& beat : message.beats) {
+    for (const auto& beat : message.heartbeats) {
         const auto probed = membership.probed.find(beat.id);
         if (beat.direct && probed != membership.probed.end()) {
             probed->second.silent_since = e.now;
@@ -172,10 +172,10 @@
         }
     }
     if (const auto about = membership.asked_about.find(message.from);
-        about != membership.asked_about.end() && !message.beats.empty()) {
+        about != membership.asked_about.end() && !message.heartbeats.empty()) {
         auto told = make_message(state);
-        told.beats.push_back(message.beats.front());
-        told.beats.back().direct = true;
+        told.heartbeats.push_back(message.heartbeats.front());
+        told.heartbeats.back().direct = true;
         out.emplace_back(send_gossip_effect{about->second.asker, std::move(told)});
         membership.asked_about.erase(about);
     }
--- a/source/peer/gossip_message.cpp
+++ b/source/peer/gossip_message.cpp
@@ -66,12 +66,12 @@
     for (const auto& id : message.unreachable) {
         unreachable.push_back(id.value);
     }
-    const json whole =
-        json::array({message.from.value, message.time.wall_ms, message.time.counter,
-                     message.in_force.value, message.fingerprint, encode_heartbeats(message.beats),
-                     std::move(inventory), std::move(confirmed), message.wants_reply,
-                     encode_heartbeats(message.suspects), message.reply_address.address,
-                     message.reply_address.port, message.recent_changes, std::move(unreachable)});
+    const json whole = json::array(
+        {message.from.value, message.time.wall_ms, message.time.counter, message.in_force.value,
+         message.fingerprint, encode_heartbeats(message.heartbeats), std::move(inventory),
+         std::move(confirmed), message.wants_reply, encode_heartbeats(message.suspects),
+         message.reply_address.address, message.reply_address.port, message.recent_changes,
+         std::move(unreachable)});
     const auto bytes = json::to_cbor(whole);
     std::string body(bytes.begin(), bytes.end());
     return sign(secret, body) + body;
@@ -94,7 +94,7 @@
         message.time.counter = whole.at(2).get<std::uint32_t>();
         message.in_force.value = whole.at(3).get<std::uint64_t>();
         message.fingerprint = whole.at(4).get<std::uint64_t>();
-        message.beats = decode_heartbeats(whole.at(5));
+        message.heartbeats = decode_heartbeats(whole.at(5));
         message.wants_reply = whole.at(8).get<bool>();
         message.suspects = decode_heartbeats(whole.at(9));
         message.reply_address.address = whole.at(10).get<std::string>();
--- a/source/peer/gossip_message.h
+++ b/source/peer/gossip_message.h
@@ -33,7 +33,7 @@
     hybrid_time time;
     generation in_force;           ///< 0 if the sender has no configuration
     std::uint64_t fingerprint = 0; ///< of the envelope in force
-    std::vector<member_heartbeat> beats;
+    std::vector<member_heartbeat> heartbeats;
     inventory_revisions inventory{}; ///< revisions of the sender's copies of the store's lists
     /// Time since the sender's copy of each list was last known to be current, at most
     /// `never_confirmed`.
--- a/unit_tests/control/control_test.cpp
+++ b/unit_tests/control/control_test.cpp
@@ -154,11 +154,11 @@
     {
         auto state = serving_state();
         auto death = beat_of(1, 5);
-        death.beats.front().dead = true;
+        death.heartbeats.front().dead = true;
         reduce(state, at(milliseconds(10), gossip_event{beat_of(1, 6)}));
         reduce(state, at(milliseconds(20), gossip_event{death}));
         CPPUNIT_ASSERT(is_alive(state));
-        death.beats.front().beat = 6;
+        death.heartbeats.front().beat = 6;
         reduce(state, at(milliseconds(30), gossip_event{death}));
         CPPUNIT_ASSERT(!is_alive(state));
         reduce(state, at(milliseconds(40), gossip_event{beat_of(1, 7)}));
@@ -245,8 +245,8 @@
         const auto beat = state.membership.own_beat;
         for (const auto& e : reduce(state, at(milliseconds(300), stop_requested_event{}))) {
             if (const auto* gossip = std::get_if<send_gossip_effect>(&e)) {
-                CPPUNIT_ASSERT(gossip->message.beats.front().leaving);
-                CPPUNIT_ASSERT(gossip->message.beats.front().beat > beat);
+                CPPUNIT_ASSERT(gossip->message.heartbeats.front().leaving);
+                CPPUNIT_ASSERT(gossip->message.heartbeats.front().beat > beat);
                 return;
             }
         }
--- a/unit_tests/control/inventory_test.cpp
+++ b/unit_tests/control/inventory_test.cpp
@@ -215,7 +215,7 @@
         for (std::size_t n = 2; n < hosts; ++n) {
             gossip_message message;
             message.from = make_host(n).id;
-            message.beats.push_back({message.from, incarnation(n), 1, false, false, false});
+            message.heartbeats.push_back({message.from, incarnation(n), 1, false, false, false});
             const auto out = reduce(state, at(milliseconds(10 + n), gossip_event{message}));
             published += count<publish_effect>(out);
         }
@@ -342,7 +342,7 @@
         const auto silent = question_of(state, inventory_kind::evacuations);
         gossip_message news;
         news.from = make_host(2).id;
-        news.beats = {{make_host(2).id, incarnation(1), 1, false, false}};
+        news.heartbeats = {{make_host(2).id, incarnation(1), 1, false, false}};
         news.inventory.fill(store_revision(10));
         news.inventory.at(static_cast<std::size_t>(inventory_kind::evacuations)) =
             store_revision(12);
@@ -361,7 +361,7 @@
         for (std::size_t i = 2; i <= hosts; ++i) {
             gossip_message beat;
             beat.from = make_host(i).id;
-            beat.beats = {{make_host(i).id, incarnation(1), 1, false, false}};
+            beat.heartbeats = {{make_host(i).id, incarnation(1), 1, false, false}};
             reduce(state, at(milliseconds(100), gossip_event{beat}));
         }
         const auto asked = answer(state, milliseconds(200), inventory_kind::evacuations, {}, 10);
@@ -386,7 +386,7 @@
         for (std::size_t i = 2; i <= hosts; ++i) {
             gossip_message beat;
             beat.from = make_host(i).id;
-            beat.beats = {{make_host(i).id, incarnation(1), 1, false, false}};
+            beat.heartbeats = {{make_host(i).id, incarnation(1), 1, false, false}};
             reduce(state, at(milliseconds(100), gossip_event{beat}));
         }
         for (const auto kind : {inventory_kind::targets, inventory_kind::configuration}) {
--- a/unit_tests/control/spill_test.cpp
+++ b/unit_tests/control/spill_test.cpp
@@ -58,7 +58,7 @@
     gossip_message heard;
     for (const auto& [id, h] : state.fleet.text.hosts) {
         if (random() % 3 != 0) {
-            heard.beats.push_back({id, incarnation(1), 1, false, false});
+            heard.heartbeats.push_back({id, incarnation(1), 1, false, false});
         }
     }
     reduce(state, {gossip_event{heard}, now, {}});
--- a/unit_tests/peer/peer_test.cpp
+++ b/unit_tests/peer/peer_test.cpp
@@ -80,10 +80,10 @@
     void full_gossip_fits_a_datagram()
     {
         auto message = sample_message();
-        message.beats.clear();
+        message.heartbeats.clear();
         for (std::size_t i = 0; i < max_heartbeats_per_message; ++i) {
-            message.beats.push_back({host_id("gaziantep-a-" + std::to_string(100 + i)),
-                                     incarnation(1'800'000'000'000), 1U << 31U, false, false});
+            message.heartbeats.push_back({host_id("gaziantep-a-" + std::to_string(100 + i)),
+                                          incarnation(1'800'000'000'000), 1U << 31U, false, false});
         }
         CPPUNIT_ASSERT(encode(message, secret).size() <= max_datagram_bytes);
     }
