--- a/source/claims/claim_log_writer.cpp
+++ b/source/claims/claim_log_writer.cpp
@@ -143,7 +143,7 @@
             ++outcome;
             continue;
         }
-        out.kept.push_back({outcome->reply_to, outcome->outcome.id});
+        out.acks.push_back({outcome->reply_to, outcome->outcome.id});
         outcome = writer.outcomes.erase(outcome);
     }
 }
@@ -159,7 +159,7 @@
         const auto pending = std::ranges::find(
             writer.outcomes, written->id, [](const queued_outcome& p) { return p.outcome.id; });
         if (pending != writer.outcomes.end()) {
-            out.kept.push_back({pending->reply_to, written->id});
+            out.acks.push_back({pending->reply_to, written->id});
             writer.outcomes.erase(pending);
         }
     }
--- a/source/claims/claim_log_writer.h
+++ b/source/claims/claim_log_writer.h
@@ -82,7 +82,7 @@
     store_call* next_call = nullptr; ///< the host's counter of platform calls
     claim_effects store;             ///< reads and writes only
     std::vector<writer_verdict> verdicts;
-    std::vector<outcome_ack> kept;
+    std::vector<outcome_ack> acks;
 };
 
 void enqueue_claim(claim_log_writer& writer, queued_claim queued, writer_output& out);
--- a/source/claims/claim_reducer.cpp
+++ b/source/claims/claim_reducer.cpp
@@ -159,7 +159,7 @@
     output.next_call = &s.state.next_call;
     advance(writer, s.membership.alive, s.now, output);
     std::ranges::move(output.store, std::back_inserter(s.out));
-    for (const auto& kept : output.kept) {
+    for (const auto& kept : output.acks) {
         if (kept.to == s.membership.self) {
             handle_outcome_ack(s, kept.id);
         } else {
