--- a/source/almondquayd/interpreter.cpp
+++ b/source/almondquayd/interpreter.cpp
@@ -60,9 +60,10 @@
                 {"since", std::to_string(e.question.since.value)},
                 {"follow", e.question.follow ? "yes" : "no"},
                 {"wait_ms", std::to_string(e.question.wait.count())}});
-    i.store->ask(e.question, [emit = i.emit, question = e.question](result<inventory_page> page) {
-        emit(inventory_read_event{question, std::move(page)});
-    });
+    i.store->query_inventory(e.question,
+                             [emit = i.emit, question = e.question](result<inventory_page> page) {
+                                 emit(inventory_read_event{question, std::move(page)});
+                             });
 }
 
 void run(interpreter& i, const register_host_effect& e)
--- a/source/store/http_object_store.cpp
+++ b/source/store/http_object_store.cpp
@@ -158,7 +158,7 @@
                   });
 }
 
-void http_object_store::ask(const inventory_query& query, page_handler handler)
+void http_object_store::query_inventory(const inventory_query& query, page_handler handler)
 {
     ++(query.follow ? counts_.watches : counts_.reads);
     client_->send(platform_, protocol_.encode_query(query), timeout_ + query.wait,
--- a/source/store/http_object_store.h
+++ b/source/store/http_object_store.h
@@ -37,7 +37,7 @@
     void remove(const std::string& key, object_version expected, done_handler handler) override;
     void watch(const std::string& key, object_version known, std::chrono::milliseconds wait,
                object_handler handler) override;
-    void ask(const inventory_query& query, page_handler handler) override;
+    void query_inventory(const inventory_query& query, page_handler handler) override;
     void register_host(const host& self, done_handler handler) override;
     void remove_host(const host_id& id, done_handler handler) override;
 
--- a/source/store/object_store.h
+++ b/source/store/object_store.h
@@ -54,7 +54,7 @@
                        object_handler handler) = 0;
 
     /// Reads a part of the inventory. Further errors: platform_history_lost.
-    virtual void ask(const inventory_query& query, page_handler handler) = 0;
+    virtual void query_inventory(const inventory_query& query, page_handler handler) = 0;
 
     /// Registers this host as an entry host; succeeds if it is already registered.
     virtual void register_host(const host& self, done_handler handler) = 0;
