--- a/source/claims/claim_log_writer.cpp
+++ b/source/claims/claim_log_writer.cpp
@@ -67,8 +67,9 @@
 {
     const auto found = std::ranges::find(writer.outcomes, id,
                                          [](const queued_outcome& p) { return p.outcome.id; });
-    const bool is_told = found != writer.outcomes.end() && found->outcome.end != claim_end::not_run;
-    return is_told ? &found->outcome : nullptr;
+    const bool is_reported =
+        found != writer.outcomes.end() && found->outcome.end != claim_end::not_run;
+    return is_reported ? &found->outcome : nullptr;
 }
 
 resolution resolve_against(const claim_log_writer& writer, const claim_entry& entry,
