--- a/source/claims/claim_log_writer.cpp
+++ b/source/claims/claim_log_writer.cpp
@@ -84,8 +84,9 @@
     if (entry.end) {
         return {next_step::answer, verdict_for_ended(entry)};
     }
-    if (const auto* told = find_reported_outcome(writer, entry.id)) {
-        return {next_step::answer, verdict_for_ended({entry.id, 0, told->end, told->answer})};
+    if (const auto* reported = find_reported_outcome(writer, entry.id)) {
+        return {next_step::answer,
+                verdict_for_ended({entry.id, 0, reported->end, reported->answer})};
     }
     if (!queued.is_log_refreshed) {
         return {next_step::read_again, {}};
