--- a/source/peer/gossip_message.cpp
+++ b/source/peer/gossip_message.cpp
@@ -23,10 +23,10 @@
            (b.starting ? starting_flag : 0) | (b.direct ? direct_flag : 0);
 }
 
-json encode_heartbeats(const std::vector<member_heartbeat>& beats)
+json encode_heartbeats(const std::vector<member_heartbeat>& heartbeats)
 {
     json rows = json::array();
-    for (const auto& b : beats) {
+    for (const auto& b : heartbeats) {
         rows.push_back(json::array({b.id.value, b.life.value, b.beat, flags_of(b)}));
     }
     return rows;
@@ -34,7 +34,7 @@
 
 std::vector<member_heartbeat> decode_heartbeats(const json& rows)
 {
-    std::vector<member_heartbeat> beats;
+    std::vector<member_heartbeat> heartbeats;
     for (const auto& value : rows) {
         member_heartbeat beat;
         beat.id.value = value.at(0).get<std::string>();
@@ -45,9 +45,9 @@
         beat.dead = (flags & dead_flag) != 0;
         beat.starting = (flags & starting_flag) != 0;
         beat.direct = (flags & direct_flag) != 0;
-        beats.push_back(std::move(beat));
+        heartbeats.push_back(std::move(beat));
     }
-    return beats;
+    return heartbeats;
 }
 
 } // namespace
