--- a/source/peer/gossip_message.cpp
+++ b/source/peer/gossip_message.cpp
@@ -100,9 +100,9 @@
         message.reply_address.address = whole.at(10).get<std::string>();
         message.reply_address.port = whole.at(11).get<std::uint16_t>();
         message.recent_changes = whole.at(12).get<std::string>();
-        constexpr std::size_t unreachable_place = 13; // Optional: earlier versions do not send it.
-        if (whole.size() > unreachable_place) {
-            for (const auto& id : whole.at(unreachable_place)) {
+        constexpr std::size_t unreachable_index = 13; // Optional: earlier versions do not send it.
+        if (whole.size() > unreachable_index) {
+            for (const auto& id : whole.at(unreachable_index)) {
                 message.unreachable.emplace_back(id.get<std::string>());
             }
         }
