--- a/source/peer/inventory_copy.cpp
+++ b/source/peer/inventory_copy.cpp
@@ -14,7 +14,7 @@
 struct name_table {
     json names = json::array();
 
-    std::size_t place_of(const std::string& name)
+    std::size_t index_of_name(const std::string& name)
     {
         const auto found = std::ranges::find(names, json(name));
         if (found != names.end()) {
@@ -32,8 +32,8 @@
 
 json encode_target(const registered_target& t, name_table& names)
 {
-    return json::array({t.what.id.value, names.place_of(t.what.serves.value),
-                        names.place_of(t.what.domain.value), t.what.address.address,
+    return json::array({t.what.id.value, names.index_of_name(t.what.serves.value),
+                        names.index_of_name(t.what.domain.value), t.what.address.address,
                         t.what.address.port, t.what.slots.value, t.what.checks_identity,
                         t.what.life.value, t.what.leaving, t.cold_left.count()});
 }
@@ -56,7 +56,7 @@
 
 json encode_host(const host& h, name_table& names)
 {
-    return json::array({h.id.value, names.place_of(h.domain.value), h.callers.address,
+    return json::array({h.id.value, names.index_of_name(h.domain.value), h.callers.address,
                         h.callers.port, h.peers.address, h.peers.port, h.weight});
 }
 
