--- a/unit_tests/claims/claim_simulation.cpp
+++ b/unit_tests/claims/claim_simulation.cpp
@@ -374,7 +374,7 @@
 }
 
 /// Records an inexpensive hash of the state that determines further behaviour.
-void note_state(model& m)
+void record_state(model& m)
 {
     std::size_t seed = 0;
     for (const auto& h : m.hosts) {
@@ -419,7 +419,7 @@
         }
         std::visit([&](const auto& one) { perform(m, host, one); }, effect);
     }
-    note_state(m);
+    record_state(m);
 }
 
 void tick(model& m, std::size_t host)
