--- a/unit_tests/claims/claim_simulation.cpp
+++ b/unit_tests/claims/claim_simulation.cpp
@@ -266,7 +266,7 @@
     }
 }
 
-void note_answer(model& m, std::uint64_t request, bool answered)
+void record_answer(model& m, std::uint64_t request, bool answered)
 {
     auto& r = m.requests[request];
     r.answered = answered;
@@ -280,7 +280,7 @@
         return;
     }
     const claim_answer answer{200, "text/plain", "first answer", end == claim_end::ran};
-    note_answer(m, request, end == claim_end::ran);
+    record_answer(m, request, end == claim_end::ran);
     deliver(m, host, life, claim_finished_event{number, end, answer});
 }
 
@@ -357,7 +357,7 @@
     if (std::holds_alternative<claim_granted>(e.verdict)) {
         dispatch(m, host, e, r.key);
     } else if (const auto* replayed = std::get_if<claim_replayed>(&e.verdict)) {
-        note_answer(m, e.request, true);
+        record_answer(m, e.request, true);
         if (replayed->answer.body != "first answer") {
             violate(m, "a retry got another answer than the first request");
         }
