--- a/unit_tests/claims/claim_simulation.cpp
+++ b/unit_tests/claims/claim_simulation.cpp
@@ -18,7 +18,7 @@
 constexpr milliseconds peer_delay{1};
 constexpr milliseconds work_time{20};
 constexpr milliseconds call_timeout{1'000};
-constexpr milliseconds late_by{6'000};
+constexpr milliseconds late_delivery_delay{6'000};
 /// Short enough that a duplicate response arrives while the host's next call is in flight.
 constexpr milliseconds repeat_delay{3};
 constexpr milliseconds pause_time{12'000};
@@ -208,7 +208,7 @@
     if (fault == claim_fault::lost_before) {
         return;
     }
-    const auto travel = fault == claim_fault::late ? late_by : platform_delay;
+    const auto travel = fault == claim_fault::late ? late_delivery_delay : platform_delay;
     const auto answer_delay =
         fault == claim_fault::late_answer ? call_timeout - 2 * platform_delay : milliseconds{0};
     at(m, m.now + travel, [&m, s, is_response_lost, answer_delay, fault] {
@@ -260,9 +260,9 @@
         return;
     }
     const bool is_late = fault == claim_fault::late || fault == claim_fault::late_answer;
-    send_message(m, host, e, is_late ? late_by : peer_delay);
+    send_message(m, host, e, is_late ? late_delivery_delay : peer_delay);
     if (fault == claim_fault::twice) {
-        send_message(m, host, e, late_by);
+        send_message(m, host, e, late_delivery_delay);
     }
 }
 
@@ -338,7 +338,7 @@
         return;
     }
     const auto paused = std::max(m.hosts[host].paused_until - m.now, milliseconds{0});
-    const auto travel = fault == claim_fault::late ? late_by : peer_delay + paused;
+    const auto travel = fault == claim_fault::late ? late_delivery_delay : peer_delay + paused;
     const bool answer_is_lost = fault == claim_fault::lost_after;
     at(m, m.now + travel, [&m, host, life, e, key, answer_is_lost] {
         run_work(m, host, life, e.request, e.number, key, answer_is_lost);
