--- a/unit_tests/claims/claim_simulation.cpp
+++ b/unit_tests/claims/claim_simulation.cpp
@@ -23,7 +23,7 @@
 constexpr milliseconds repeat_delay{3};
 constexpr milliseconds pause_time{12'000};
 constexpr milliseconds outage_time{5'000};
-constexpr milliseconds tick_gap{250};
+constexpr milliseconds tick_interval{250};
 constexpr milliseconds caller_timeout{900};
 /// No fault begins later than this, so that all faults are over at the time of the last retry.
 constexpr milliseconds last_fault_at{25'000};
@@ -426,7 +426,7 @@
 {
     deliver(m, host, m.hosts[host].life, claim_tick_event{});
     if (m.now < scenario_time) {
-        const auto next = std::max(m.now, m.hosts[host].paused_until) + tick_gap;
+        const auto next = std::max(m.now, m.hosts[host].paused_until) + tick_interval;
         at(m, next, [&m, host] { tick(m, host); });
     }
 }
