--- a/benchmarks/capacity_benchmark.cpp
+++ b/benchmarks/capacity_benchmark.cpp
@@ -85,7 +85,7 @@
     gossip_message message;
     message.from = host_id("h1");
     message.in_force = generation(1);
-    for (const auto& [id, h] : state.fleet.text.hosts) {
+    for (const auto& [id, h] : state.fleet.configuration.hosts) {
         message.heartbeats.push_back({id, incarnation(1), beat, false, false});
     }
     reduce(state, at(ms, gossip_event{std::move(message)}));
--- a/source/almondquayd/daemon.cpp
+++ b/source/almondquayd/daemon.cpp
@@ -121,7 +121,7 @@
 void log_waiting(const daemon_parts& d)
 {
     std::uint32_t running = 0;
-    for (const auto& [id, t] : d.state.fleet.text.targets) {
+    for (const auto& [id, t] : d.state.fleet.configuration.targets) {
         running += d.traffic->in_flight(id);
     }
     const bool has_grace = d.state.stage == life_stage::leaving;
--- a/source/control/claim_bridge.cpp
+++ b/source/control/claim_bridge.cpp
@@ -8,8 +8,8 @@
 
 void translate(const control_state& state, claim_message_effect&& e, effects& out)
 {
-    const auto host = state.fleet.text.hosts.find(e.to);
-    if (host != state.fleet.text.hosts.end()) {
+    const auto host = state.fleet.configuration.hosts.find(e.to);
+    if (host != state.fleet.configuration.hosts.end()) {
         out.emplace_back(send_claim_message_effect{host->second.peers, std::move(e.message)});
     }
 }
--- a/source/control/fleet_adoption.cpp
+++ b/source/control/fleet_adoption.cpp
@@ -78,9 +78,9 @@
 {
     const auto before = state.fleet.envelope ? state.fleet.envelope->number.value : 0;
     state.fleet.envelope = envelope;
-    state.fleet.text = std::move(text);
-    state.fleet.routes = make_route_table(state.fleet.text.routes);
-    state.fleet.blocks = make_block_table(state.fleet.text.caller_blocks);
+    state.fleet.configuration = std::move(text);
+    state.fleet.routes = make_route_table(state.fleet.configuration.routes);
+    state.fleet.blocks = make_block_table(state.fleet.configuration.caller_blocks);
     state.fleet.fingerprint = fingerprint_of(envelope);
     state.fleet.since = e.wall;
     state.snapshot_is_stale = true;
@@ -160,7 +160,7 @@
 {
     const auto live = live_hosts(state);
     std::vector<host_id> ranked;
-    for (const auto* h : hosts_of(state.fleet.text, state.self.domain)) {
+    for (const auto* h : hosts_of(state.fleet.configuration, state.self.domain)) {
         if (live.contains(h->id) || h->id == state.self.host) {
             ranked.push_back(h->id);
         }
--- a/source/control/inventory_items.cpp
+++ b/source/control/inventory_items.cpp
@@ -61,9 +61,9 @@
 /// The cold time assumed for a target that does not report one.
 std::chrono::milliseconds assumed_cold_time(const control_state& state, const target& t)
 {
-    const auto found = state.fleet.text.services.find(t.serves);
-    return found == state.fleet.text.services.end() ? std::chrono::milliseconds{0}
-                                                    : found->second.cold_time;
+    const auto found = state.fleet.configuration.services.find(t.serves);
+    return found == state.fleet.configuration.services.end() ? std::chrono::milliseconds{0}
+                                                             : found->second.cold_time;
 }
 
 void forget_host(control_state& state, const host_id& id)
--- a/source/control/inventory_sync.cpp
+++ b/source/control/inventory_sync.cpp
@@ -340,7 +340,7 @@
     if (!state.self.has_inventory) {
         return;
     }
-    auto& text = state.fleet.text;
+    auto& text = state.fleet.configuration;
     text.settings.lookup_ttl = state.self.budgets.lookup_ttl;
     for (const auto& [domain, in_region] : state.self.domains) {
         text.regions[in_region] = {in_region};
@@ -364,14 +364,14 @@
 
 double cold_share(const control_state& state, const target& t)
 {
-    const auto found = state.fleet.text.services.find(t.serves);
-    if (found == state.fleet.text.services.end()) {
+    const auto found = state.fleet.configuration.services.find(t.serves);
+    if (found == state.fleet.configuration.services.end()) {
         return 0;
     }
     const auto own = rank_for(t.id, state.self.host);
-    const auto ahead = std::ranges::count_if(state.fleet.text.hosts, [&](const auto& entry) {
-        return rank_for(t.id, entry.first) > own;
-    });
+    const auto ahead =
+        std::ranges::count_if(state.fleet.configuration.hosts,
+                              [&](const auto& entry) { return rank_for(t.id, entry.first) > own; });
     const bool may_use = static_cast<std::size_t>(ahead) < hosts_for_cold_target;
     return may_use ? found->second.cold_requests_per_second / hosts_for_cold_target : 0;
 }
--- a/source/control/membership.cpp
+++ b/source/control/membership.cpp
@@ -40,7 +40,7 @@
 /// small region, all of the region, since look-up answers list all its hosts.
 domain_set near_domains(const control_state& state)
 {
-    const auto& text = state.fleet.text;
+    const auto& text = state.fleet.configuration;
     const auto home = region_of(text, state.self.domain);
     domain_set domains;
     for (const auto& [id, domain] : text.domains) {
@@ -59,15 +59,15 @@
 
 bool is_near(const control_state& state, const domain_set& near, const host_id& id)
 {
-    const auto found = state.fleet.text.hosts.find(id);
-    return found != state.fleet.text.hosts.end() && near.contains(found->second.domain);
+    const auto found = state.fleet.configuration.hosts.find(id);
+    return found != state.fleet.configuration.hosts.end() && near.contains(found->second.domain);
 }
 
 /// The number of hosts in these failure domains, including this one if the fleet lists it.
 std::size_t count_hosts(const control_state& state, const domain_set& near)
 {
     return static_cast<std::size_t>(
-        std::ranges::count_if(state.fleet.text.hosts, [&](const auto& entry) {
+        std::ranges::count_if(state.fleet.configuration.hosts, [&](const auto& entry) {
             return near.contains(entry.second.domain);
         }));
 }
@@ -123,12 +123,12 @@
                                    bool near)
 {
     std::vector<endpoint> peers;
-    for (const auto& [id, h] : state.fleet.text.hosts) {
+    for (const auto& [id, h] : state.fleet.configuration.hosts) {
         if (id != state.self.host && near_domains.contains(h.domain) == near) {
             peers.push_back(h.peers);
         }
     }
-    const bool knows_nobody = state.fleet.text.hosts.size() <= 1;
+    const bool knows_nobody = state.fleet.configuration.hosts.size() <= 1;
     return knows_nobody ? state.self.seeds : peers;
 }
 
@@ -282,7 +282,7 @@
     auto message = make_message(state);
     message.heartbeats.push_back({id, m.life, m.beat, m.leaving, true, m.starting});
     std::map<failure_domain_id, std::size_t> told;
-    for (const auto& [other, h] : state.fleet.text.hosts) {
+    for (const auto& [other, h] : state.fleet.configuration.hosts) {
         const bool is_enough =
             h.domain != state.self.domain && told[h.domain] >= hosts_told_of_death_elsewhere;
         if (other != state.self.host && other != id && !is_enough) {
@@ -296,8 +296,8 @@
 
 const endpoint* peer_endpoint(const control_state& state, const host_id& id)
 {
-    const auto found = state.fleet.text.hosts.find(id);
-    return found == state.fleet.text.hosts.end() ? nullptr : &found->second.peers;
+    const auto found = state.fleet.configuration.hosts.find(id);
+    return found == state.fleet.configuration.hosts.end() ? nullptr : &found->second.peers;
 }
 
 } // namespace
@@ -328,7 +328,7 @@
     const auto passed = e.now - state.membership.last_tick;
     forgive_own_pause(state.membership, e.now);
     ++state.membership.own_beat;
-    const auto far = far_timeout(state.fleet.text.hosts.size());
+    const auto far = far_timeout(state.fleet.configuration.hosts.size());
     const auto domains = near_domains(state);
     const auto near = is_probed_domain(state) ? far : near_timeout(count_hosts(state, domains));
     for (auto& [id, m] : state.membership.members) {
@@ -376,7 +376,7 @@
 {
     auto message = make_message(state);
     message.recent_changes = state.inventory.news;
-    const auto& text = state.fleet.text;
+    const auto& text = state.fleet.configuration;
     const bool to_all = text.hosts.size() <= max_hosts_told_at_once;
     const auto home = region_of(text, state.self.domain);
     const auto domains = near_domains(state);
--- a/source/control/probing.cpp
+++ b/source/control/probing.cpp
@@ -28,7 +28,7 @@
 {
     const auto own = ring_place(state.self.host);
     std::vector<const host*> ring;
-    for (const auto* h : hosts_of(state.fleet.text, state.self.domain)) {
+    for (const auto* h : hosts_of(state.fleet.configuration, state.self.domain)) {
         if (h->id != state.self.host && !is_taken_for_dead(state, h->id)) {
             ring.push_back(h);
         }
@@ -87,8 +87,8 @@
         out.emplace_back(send_gossip_effect{asker, make_message(state)});
         return;
     }
-    const auto found = state.fleet.text.hosts.find(suspected.id);
-    if (found != state.fleet.text.hosts.end()) {
+    const auto found = state.fleet.configuration.hosts.find(suspected.id);
+    if (found != state.fleet.configuration.hosts.end()) {
         state.membership.asked_about[suspected.id] = {asker, e.now + refutation_time};
         ask_for_sign(state, found->second, out);
     }
@@ -98,7 +98,7 @@
 
 bool is_probed_domain(const control_state& state)
 {
-    return hosts_of(state.fleet.text, state.self.domain).size() >= min_probed_hosts;
+    return hosts_of(state.fleet.configuration, state.self.domain).size() >= min_probed_hosts;
 }
 
 std::vector<host_id> tick_probing(control_state& state, monotonic_time now, effects& out)
--- a/source/control/quarantine.cpp
+++ b/source/control/quarantine.cpp
@@ -20,7 +20,8 @@
 /// Whether crash evidence is sent only to the followers of the store.
 bool collects_at_followers(const control_state& state)
 {
-    return state.self.has_inventory && state.fleet.text.hosts.size() > max_hosts_told_of_each_crash;
+    return state.self.has_inventory &&
+           state.fleet.configuration.hosts.size() > max_hosts_told_of_each_crash;
 }
 
 /// Whether this host receives the crash evidence of all hosts.
@@ -39,7 +40,7 @@
         }
         return;
     }
-    for (const auto& [id, h] : state.fleet.text.hosts) {
+    for (const auto& [id, h] : state.fleet.configuration.hosts) {
         if (is_told(state, id)) {
             out.emplace_back(share_evidence_effect{h.peers, evidence});
         }
@@ -56,7 +57,7 @@
     if (!collects_at_followers(state) || !hears_all_evidence(state)) {
         return;
     }
-    const auto& text = state.fleet.text;
+    const auto& text = state.fleet.configuration;
     const auto home = region_of(text, state.self.domain);
     for (const auto& [id, h] : text.hosts) {
         const bool is_near = region_of(text, h.domain) == home;
@@ -145,14 +146,14 @@
     const auto fingerprint = evidence.what.fingerprint;
     if (!evidence.from_peer && !hears_all_evidence(state)) {
         // Without the evidence of other hosts this one could identify the wrong request.
-        if (state.fleet.text.targets.contains(evidence.what.target)) {
+        if (state.fleet.configuration.targets.contains(evidence.what.target)) {
             pass_on(state, evidence.what, out);
         }
         return;
     }
     const bool has_room =
         state.suspects.size() < max_suspects || state.suspects.contains(fingerprint);
-    if (!state.fleet.text.targets.contains(evidence.what.target) || !has_room) {
+    if (!state.fleet.configuration.targets.contains(evidence.what.target) || !has_room) {
         return;
     }
     auto& s = state.suspects[fingerprint];
--- a/source/control/reducer.cpp
+++ b/source/control/reducer.cpp
@@ -23,7 +23,7 @@
     if (is_stopping) {
         return;
     }
-    const auto wished = state.fleet.text.settings.lookup_ttl + leave_margin;
+    const auto wished = state.fleet.configuration.settings.lookup_ttl + leave_margin;
     const bool is_bounded = state.self.stop_grace.count() != 0;
     const auto grace = is_bounded ? std::min(wished, state.self.stop_grace / leave_part) : wished;
     state.stage = life_stage::leaving;
--- a/source/control/snapshot_builder.cpp
+++ b/source/control/snapshot_builder.cpp
@@ -31,7 +31,7 @@
 
 host_position position_of(const control_state& state)
 {
-    const auto all = hosts_of(state.fleet.text, state.self.domain);
+    const auto all = hosts_of(state.fleet.configuration, state.self.domain);
     const auto found = std::ranges::find(all, state.self.host, &host::id);
     return {static_cast<std::size_t>(found - all.begin()), all.size()};
 }
@@ -45,8 +45,8 @@
     route.slots = share_of(t.slots.value, first, place.position, place.hosts);
     route.connections = share_of(t.connections, first, place.position, place.hosts);
     route.sheds_unrun = t.sheds_unrun;
-    route.usable =
-        !world.dead_targets.contains(t.id) && !is_drained(state.fleet.text, world.drains, t);
+    route.usable = !world.dead_targets.contains(t.id) &&
+                   !is_drained(state.fleet.configuration, world.drains, t);
     return route;
 }
 
@@ -54,7 +54,7 @@
 void add_shared_targets(const control_state& state, const availability_view& world,
                         routing_snapshot& snapshot)
 {
-    const auto& text = state.fleet.text;
+    const auto& text = state.fleet.configuration;
     for (const auto& [id, t] : text.targets) {
         target_route route;
         route.id = id;
@@ -82,7 +82,7 @@
 void add_entry_hosts(const control_state& state, const availability_view& world,
                      routing_snapshot& snapshot)
 {
-    const auto& text = state.fleet.text;
+    const auto& text = state.fleet.configuration;
     std::vector<endpoint> all;
     for (const auto& [id, h] : text.hosts) {
         if (world.live_hosts.contains(id)) {
@@ -105,7 +105,7 @@
 {
     const auto place = position_of(state);
     std::map<service_id, std::size_t> first;
-    for (const auto& [id, t] : state.fleet.text.targets) {
+    for (const auto& [id, t] : state.fleet.configuration.targets) {
         if (t.domain == state.self.domain) {
             snapshot.services[t.serves.value].targets.push_back(
                 make_route(state, world, place, first[t.serves], t));
@@ -122,7 +122,7 @@
     constexpr double bits_per_byte = 8;
     constexpr double bits_per_megabit = 1e6;
     const auto place = position_of(state);
-    const auto receivers = hosts_of(state.fleet.text, g.to);
+    const auto receivers = hosts_of(state.fleet.configuration, g.to);
     const auto live = places.hosts.find(g.to);
     const target_id name("spill/" + g.to.value + "/" + g.of_service.value);
     const auto own = share_of(g.in_flight, hashed_position(name), place.position, place.hosts);
@@ -138,7 +138,7 @@
         const bool is_live = live != places.hosts.end() &&
                              std::ranges::find(live->second, receivers[i]) != live->second.end();
         route.usable = is_live && route.bytes_per_second > 0 &&
-                       usable_slots(state.fleet.text, places, g.to, g.of_service) > 0;
+                       usable_slots(state.fleet.configuration, places, g.to, g.of_service) > 0;
         snapshot.services[g.of_service.value].targets.push_back(std::move(route));
     }
 }
@@ -146,7 +146,7 @@
 void add_answers(const control_state& state, const capacity_index& places, const service& s,
                  service_routes& routes)
 {
-    const auto& text = state.fleet.text;
+    const auto& text = state.fleet.configuration;
     routes.definition = s;
     for (const auto& [id, r] : text.regions) {
         const auto choices = choose_hosts(text, places, s.id, id);
@@ -162,7 +162,7 @@
     boost::intrusive_ptr<routing_snapshot> snapshot(new routing_snapshot);
     snapshot->ready = state.stage != life_stage::starting;
     snapshot->leaving = state.stage == life_stage::leaving || state.stage == life_stage::ending;
-    snapshot->home = region_of(state.fleet.text, state.self.domain);
+    snapshot->home = region_of(state.fleet.configuration, state.self.domain);
     snapshot->blocks = state.fleet.blocks ? state.fleet.blocks : make_block_table({});
     for (const auto& [fingerprint, q] : state.quarantined) {
         snapshot->quarantined.insert(fingerprint);
@@ -172,8 +172,8 @@
     }
     snapshot->in_force = state.fleet.envelope->number;
     const auto world = view_of(state);
-    const auto places = make_capacity_index(state.fleet.text, world);
-    for (const auto& [id, s] : state.fleet.text.services) {
+    const auto places = make_capacity_index(state.fleet.configuration, world);
+    for (const auto& [id, s] : state.fleet.configuration.services) {
         if (state.self.has_inventory) {
             snapshot->services[id.value].definition = s;
         } else {
@@ -181,9 +181,9 @@
         }
     }
     snapshot->routes = state.fleet.routes;
-    snapshot->limits = state.fleet.text.limits;
-    snapshot->hosts = std::max<std::size_t>(1, state.fleet.text.hosts.size());
-    for (const auto& [id, d] : state.fleet.text.domains) {
+    snapshot->limits = state.fleet.configuration.limits;
+    snapshot->hosts = std::max<std::size_t>(1, state.fleet.configuration.hosts.size());
+    for (const auto& [id, d] : state.fleet.configuration.domains) {
         snapshot->regions.emplace(id, d.in_region);
     }
     if (state.self.has_inventory) {
@@ -192,7 +192,7 @@
         return snapshot;
     }
     add_targets(state, world, *snapshot);
-    for (const auto& g : state.fleet.text.grants) {
+    for (const auto& g : state.fleet.configuration.grants) {
         if (g.from == state.self.domain) {
             add_spill(state, places, g, *snapshot);
         }
--- a/source/control/state.h
+++ b/source/control/state.h
@@ -80,7 +80,7 @@
 
 struct fleet_state {
     std::optional<fleet_envelope> envelope;
-    fleet text;
+    fleet configuration;
     block_table_ptr blocks;
     route_table_ptr routes;
     std::uint64_t fingerprint = 0;
--- a/source/control/status.cpp
+++ b/source/control/status.cpp
@@ -9,9 +9,9 @@
 
 std::string why_unusable(const control_state& state, const target_id& id)
 {
-    const auto t = state.fleet.text.targets.find(id);
-    if (t != state.fleet.text.targets.end() &&
-        is_drained(state.fleet.text, state.fleet.envelope->drains, t->second)) {
+    const auto t = state.fleet.configuration.targets.find(id);
+    if (t != state.fleet.configuration.targets.end() &&
+        is_drained(state.fleet.configuration, state.fleet.envelope->drains, t->second)) {
         return "drained";
     }
     const auto health = state.targets.find(id);
--- a/source/control/target_health.cpp
+++ b/source/control/target_health.cpp
@@ -51,8 +51,8 @@
     // It may have restarted in the meantime, and a restarted target is cold.
     if (const auto listed = state.inventory.targets.find(id);
         listed != state.inventory.targets.end()) {
-        const auto s = state.fleet.text.services.find(listed->second.entry.what.serves);
-        if (s != state.fleet.text.services.end()) {
+        const auto s = state.fleet.configuration.services.find(listed->second.entry.what.serves);
+        if (s != state.fleet.configuration.services.end()) {
             listed->second.cold_until =
                 std::max(listed->second.cold_until, e.now + s->second.cold_time);
         }
@@ -68,9 +68,9 @@
 
 std::string health_path(const control_state& state, const target& t)
 {
-    const auto found = state.fleet.text.services.find(t.serves);
-    return found == state.fleet.text.services.end() ? service().health_path
-                                                    : found->second.health_path;
+    const auto found = state.fleet.configuration.services.find(t.serves);
+    return found == state.fleet.configuration.services.end() ? service().health_path
+                                                             : found->second.health_path;
 }
 
 } // namespace
@@ -78,7 +78,7 @@
 void take_target_report(control_state& state, const event& e, const target_report_event& report,
                         effects& out)
 {
-    if (!state.fleet.text.targets.contains(report.target)) {
+    if (!state.fleet.configuration.targets.contains(report.target)) {
         return;
     }
     auto& health = state.targets[report.target];
@@ -113,9 +113,9 @@
 void tick_health(control_state& state, const event& e, effects& out)
 {
     for (auto& [id, health] : state.targets) {
-        const auto t = state.fleet.text.targets.find(id);
+        const auto t = state.fleet.configuration.targets.find(id);
         const bool is_due = !health.usable && !health.probe_running && e.now >= health.next_probe;
-        if (is_due && t != state.fleet.text.targets.end()) {
+        if (is_due && t != state.fleet.configuration.targets.end()) {
             health.probe_running = true;
             health.next_probe = e.now + probe_interval;
             out.emplace_back(probe_effect{id, t->second.address, health_path(state, t->second)});
@@ -128,7 +128,7 @@
     std::map<service_id, std::size_t> all;
     std::map<service_id, std::set<target_id>> dead;
     std::set<target_id> believed;
-    for (const auto& [id, t] : state.fleet.text.targets) {
+    for (const auto& [id, t] : state.fleet.configuration.targets) {
         if (t.domain != state.self.domain && !state.self.has_inventory) {
             continue;
         }
--- a/source/control/unreachable_targets.cpp
+++ b/source/control/unreachable_targets.cpp
@@ -35,11 +35,12 @@
     while (!news.empty() && message.unreachable.size() < max_unreachable_per_message) {
         message.unreachable.push_back(std::move(news.extract(news.begin()).value()));
     }
-    const auto home = region_of(state.fleet.text, state.self.domain);
-    for (const auto& [id, h] : state.fleet.text.hosts) {
+    const auto home = region_of(state.fleet.configuration, state.self.domain);
+    for (const auto& [id, h] : state.fleet.configuration.hosts) {
         const auto known = state.membership.members.find(id);
         const bool is_dead = known != state.membership.members.end() && !known->second.alive;
-        if (id != state.self.host && !is_dead && region_of(state.fleet.text, h.domain) == home) {
+        if (id != state.self.host && !is_dead &&
+            region_of(state.fleet.configuration, h.domain) == home) {
             out.emplace_back(send_gossip_effect{h.peers, message});
         }
     }
@@ -61,7 +62,7 @@
                       effects& out)
 {
     for (const auto& id : message.unreachable) {
-        if (state.fleet.text.targets.contains(id)) {
+        if (state.fleet.configuration.targets.contains(id)) {
             leave_out(state, e, id, message.from, out);
             state.unreachable_news.erase(id);
         }
--- a/unit_tests/control/inventory_test.cpp
+++ b/unit_tests/control/inventory_test.cpp
@@ -140,7 +140,7 @@
 
 bool knows(const control_state& state, const std::string& name)
 {
-    return state.fleet.text.targets.contains(target_id(name));
+    return state.fleet.configuration.targets.contains(target_id(name));
 }
 
 bool is_usable(const effects& all, const std::string& name)
@@ -559,7 +559,7 @@
         CPPUNIT_ASSERT(is_usable(published, "t"));
         answer(state, seconds(3), inventory_kind::targets, {item_of(target_of("t"))}, 12);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{2},
-                             state.fleet.text.targets.at(target_id("t")).life.value);
+                             state.fleet.configuration.targets.at(target_id("t")).life.value);
     }
 
     void all_hosts_together_keep_to_what_a_cold_target_stands()
--- a/unit_tests/control/spill_test.cpp
+++ b/unit_tests/control/spill_test.cpp
@@ -56,7 +56,7 @@
     const monotonic_time now(std::chrono::milliseconds(1));
     reduce(state, {fleet_read_event{stored_object{"fleet", 1, encode(envelope)}}, now, {}});
     gossip_message heard;
-    for (const auto& [id, h] : state.fleet.text.hosts) {
+    for (const auto& [id, h] : state.fleet.configuration.hosts) {
         if (random() % 3 != 0) {
             heard.heartbeats.push_back({id, incarnation(1), 1, false, false});
         }
