--- a/source/control/fleet_adoption.cpp
+++ b/source/control/fleet_adoption.cpp
@@ -187,8 +187,8 @@
     }
 }
 
-void take_fleet_read(control_state& state, const event& e, const fleet_read_event& read,
-                     effects& out)
+void handle_fleet_read(control_state& state, const event& e, const fleet_read_event& read,
+                       effects& out)
 {
     auto& f = state.fleet;
     f.watch_running = false;
