--- a/source/control/fleet_adoption.cpp
+++ b/source/control/fleet_adoption.cpp
@@ -210,7 +210,7 @@
     start_serving_if_ready(state, e, out);
 }
 
-void take_fleet_written(control_state& state, const fleet_written_event& written)
+void handle_fleet_written(control_state& state, const fleet_written_event& written)
 {
     state.fleet.write_running = false;
     if (succeeded(written.version)) {
