--- a/source/control/fleet_adoption.cpp
+++ b/source/control/fleet_adoption.cpp
@@ -218,8 +218,8 @@
     }
 }
 
-void take_peer_fleet(control_state& state, const event& e, const peer_fleet_event& answer,
-                     effects& out)
+void handle_peer_fleet(control_state& state, const event& e, const peer_fleet_event& answer,
+                       effects& out)
 {
     if (succeeded(answer.envelope) && value_of(answer.envelope).number.value > 0) {
         adopt(state, e, value_of(answer.envelope), answer.peer, out);
--- a/source/control/fleet_adoption.h
+++ b/source/control/fleet_adoption.h
@@ -19,8 +19,8 @@
 void handle_fleet_read(control_state& state, const event& e, const fleet_read_event& read,
                        effects& out);
 void handle_fleet_written(control_state& state, const fleet_written_event& written);
-void take_peer_fleet(control_state& state, const event& e, const peer_fleet_event& answer,
-                     effects& out);
+void handle_peer_fleet(control_state& state, const event& e, const peer_fleet_event& answer,
+                       effects& out);
 
 /// Puts an envelope in force if its generation is higher than the current one and its text parses.
 void adopt(control_state& state, const event& e, const fleet_envelope& envelope,
