--- a/source/control/inventory_sync.cpp
+++ b/source/control/inventory_sync.cpp
@@ -300,8 +300,8 @@
     ask_peers_while_starting(state, e, out);
 }
 
-void take_inventory_page(control_state& state, const event& e, const inventory_read_event& read,
-                         effects& out)
+void handle_inventory_page(control_state& state, const event& e, const inventory_read_event& read,
+                           effects& out)
 {
     auto& list = list_of(state.inventory, read.question.kind);
     if (read.question.number != list.call || !list.call_running) {
--- a/source/control/inventory_sync.h
+++ b/source/control/inventory_sync.h
@@ -35,8 +35,8 @@
 /// registration of this host.
 void tick_inventory(control_state& state, const event& e, effects& out);
 
-void take_inventory_page(control_state& state, const event& e, const inventory_read_event& read,
-                         effects& out);
+void handle_inventory_page(control_state& state, const event& e, const inventory_read_event& read,
+                           effects& out);
 void take_host_registered(control_state& state, const event& e,
                           const host_registered_event& registered, effects& out);
 
