--- a/source/control/inventory_sync.cpp
+++ b/source/control/inventory_sync.cpp
@@ -323,8 +323,8 @@
     start_serving_if_ready(state, e, out);
 }
 
-void take_host_registered(control_state& state, const event& e,
-                          const host_registered_event& registered, effects& out)
+void handle_host_registered(control_state& state, const event& e,
+                            const host_registered_event& registered, effects& out)
 {
     auto& inventory = state.inventory;
     inventory.registration_running = false;
--- a/source/control/inventory_sync.h
+++ b/source/control/inventory_sync.h
@@ -37,8 +37,8 @@
 
 void handle_inventory_page(control_state& state, const event& e, const inventory_read_event& read,
                            effects& out);
-void take_host_registered(control_state& state, const event& e,
-                          const host_registered_event& registered, effects& out);
+void handle_host_registered(control_state& state, const event& e,
+                            const host_registered_event& registered, effects& out);
 
 /// Copies regions, failure domains, hosts and targets into the configuration in force, whose text
 /// does not list them when there is an inventory.
