--- a/source/control/peer_inventory.cpp
+++ b/source/control/peer_inventory.cpp
@@ -283,8 +283,8 @@
     return copy;
 }
 
-void take_peer_inventory(control_state& state, const event& e, const peer_inventory_event& answer,
-                         effects& out)
+void handle_peer_inventory(control_state& state, const event& e, const peer_inventory_event& answer,
+                           effects& out)
 {
     if (!succeeded(answer.copy)) {
         return;
@@ -316,7 +316,7 @@
     if (message.recent_changes.empty() || !state.self.has_inventory || follows(state)) {
         return;
     }
-    take_peer_inventory(
+    handle_peer_inventory(
         state, e,
         peer_inventory_event{message.from.value, decode_inventory_copy(message.recent_changes)},
         out);
--- a/source/control/peer_inventory.h
+++ b/source/control/peer_inventory.h
@@ -31,8 +31,8 @@
 void take_news(control_state& state, const event& e, const gossip_message& message, effects& out);
 
 /// Applies the lists of a peer's copy that are newer than those of this host.
-void take_peer_inventory(control_state& state, const event& e, const peer_inventory_event& answer,
-                         effects& out);
+void handle_peer_inventory(control_state& state, const event& e, const peer_inventory_event& answer,
+                           effects& out);
 
 /// Compares a peer's revisions with those of this host. If the local list is as new, the peer's
 /// confirmation applies to it too; if it is behind, it is queried again from the store by a
--- a/source/control/reducer.cpp
+++ b/source/control/reducer.cpp
@@ -112,7 +112,7 @@
             [&](const request_released_event& body) { release_request(state, e, body, out); },
             [&](const inventory_read_event& body) { handle_inventory_page(state, e, body, out); },
             [&](const host_registered_event& body) { handle_host_registered(state, e, body, out); },
-            [&](const peer_inventory_event& body) { take_peer_inventory(state, e, body, out); },
+            [&](const peer_inventory_event& body) { handle_peer_inventory(state, e, body, out); },
             [&](const settings_changed_event& body) { state.self.seeds = body.seeds; },
             [&](const claim_event& body) { take_claim_event(state, e, body, out); },
         },
