--- a/source/control/reducer.cpp
+++ b/source/control/reducer.cpp
@@ -103,7 +103,7 @@
             [&](const fleet_written_event& body) { handle_fleet_written(state, body); },
             [&](const peer_fleet_event& body) { handle_peer_fleet(state, e, body, out); },
             [&](const gossip_event& body) { take_gossip(state, e, body.message, out); },
-            [&](const target_report_event& body) { take_target_report(state, e, body, out); },
+            [&](const target_report_event& body) { handle_target_report(state, e, body, out); },
             [&](const probe_ended_event& body) { take_probe(state, e, body, out); },
             [&](const stop_requested_event&) { request_stop(state, e, out); },
             [&](const traffic_ended_event&) { end_process(state, e, out); },
--- a/source/control/target_health.cpp
+++ b/source/control/target_health.cpp
@@ -75,8 +75,8 @@
 
 } // namespace
 
-void take_target_report(control_state& state, const event& e, const target_report_event& report,
-                        effects& out)
+void handle_target_report(control_state& state, const event& e, const target_report_event& report,
+                          effects& out)
 {
     if (!state.fleet.configuration.targets.contains(report.target)) {
         return;
--- a/source/control/target_health.h
+++ b/source/control/target_health.h
@@ -14,8 +14,8 @@
 constexpr unsigned probes_to_return = 2;
 constexpr std::chrono::milliseconds probe_interval{500};
 
-void take_target_report(control_state& state, const event& e, const target_report_event& report,
-                        effects& out);
+void handle_target_report(control_state& state, const event& e, const target_report_event& report,
+                          effects& out);
 void take_probe(control_state& state, const event& e, const probe_ended_event& probe, effects& out);
 
 /// Starts the probes of ejected targets that are due.
