--- a/source/control/membership.cpp
+++ b/source/control/membership.cpp
@@ -348,7 +348,8 @@
     send_gossip(state, domains, passed, out);
 }
 
-void take_gossip(control_state& state, const event& e, const gossip_message& message, effects& out)
+void handle_gossip(control_state& state, const event& e, const gossip_message& message,
+                   effects& out)
 {
     state.clock = advance(state.clock, message.time, e.wall);
     const auto* peer = peer_endpoint(state, message.from);
--- a/source/control/membership.h
+++ b/source/control/membership.h
@@ -35,7 +35,8 @@
 void tick_membership(control_state& state, const event& e, effects& out);
 
 /// Merges newer heartbeats and fetches what the sender has newer, such as its configuration.
-void take_gossip(control_state& state, const event& e, const gossip_message& message, effects& out);
+void handle_gossip(control_state& state, const event& e, const gossip_message& message,
+                   effects& out);
 
 /// Sends the host's generation, inventory revisions and latest changes immediately to the near
 /// hosts or, in a small fleet, to all hosts.
--- a/source/control/reducer.cpp
+++ b/source/control/reducer.cpp
@@ -102,7 +102,7 @@
             [&](const fleet_read_event& body) { handle_fleet_read(state, e, body, out); },
             [&](const fleet_written_event& body) { handle_fleet_written(state, body); },
             [&](const peer_fleet_event& body) { handle_peer_fleet(state, e, body, out); },
-            [&](const gossip_event& body) { take_gossip(state, e, body.message, out); },
+            [&](const gossip_event& body) { handle_gossip(state, e, body.message, out); },
             [&](const target_report_event& body) { handle_target_report(state, e, body, out); },
             [&](const probe_ended_event& body) { take_probe(state, e, body, out); },
             [&](const stop_requested_event&) { request_stop(state, e, out); },
