--- a/source/control/quarantine.cpp
+++ b/source/control/quarantine.cpp
@@ -140,8 +140,8 @@
 
 } // namespace
 
-void take_crash_evidence(control_state& state, const event& e, const crash_evidence_event& evidence,
-                         effects& out)
+void handle_crash_evidence(control_state& state, const event& e,
+                           const crash_evidence_event& evidence, effects& out)
 {
     const auto fingerprint = evidence.what.fingerprint;
     if (!evidence.from_peer && !hears_all_evidence(state)) {
--- a/source/control/quarantine.h
+++ b/source/control/quarantine.h
@@ -27,8 +27,8 @@
 constexpr std::size_t max_hosts_told_of_each_crash = 24;
 
 /// Records evidence observed by this host or by a peer, and forwards that of this host.
-void take_crash_evidence(control_state& state, const event& e, const crash_evidence_event& evidence,
-                         effects& out);
+void handle_crash_evidence(control_state& state, const event& e,
+                           const crash_evidence_event& evidence, effects& out);
 
 /// Clears a suspect that was served successfully and therefore did not cause the crashes.
 void clear_suspect(control_state& state, const request_cleared_event& cleared);
--- a/source/control/reducer.cpp
+++ b/source/control/reducer.cpp
@@ -107,7 +107,7 @@
             [&](const probe_ended_event& body) { take_probe(state, e, body, out); },
             [&](const stop_requested_event&) { request_stop(state, e, out); },
             [&](const traffic_ended_event&) { end_process(state, e, out); },
-            [&](const crash_evidence_event& body) { take_crash_evidence(state, e, body, out); },
+            [&](const crash_evidence_event& body) { handle_crash_evidence(state, e, body, out); },
             [&](const request_cleared_event& body) { clear_suspect(state, body); },
             [&](const request_released_event& body) { release_request(state, e, body, out); },
             [&](const inventory_read_event& body) { handle_inventory_page(state, e, body, out); },
