--- a/source/control/claim_bridge.cpp
+++ b/source/control/claim_bridge.cpp
@@ -21,7 +21,7 @@
 
 } // namespace
 
-void take_claim_event(control_state& state, const event& e, const claim_event& body, effects& out)
+void handle_claim_event(control_state& state, const event& e, const claim_event& body, effects& out)
 {
     auto todo = reduce_claims(state.claims, state.claim_view, body, e.now, e.wall);
     for (auto& one : todo) {
--- a/source/control/claim_bridge.h
+++ b/source/control/claim_bridge.h
@@ -9,7 +9,8 @@
 
 /// Runs the claim reducer and converts its effects to control effects; the receiver of a message is
 /// resolved from its host id to an endpoint.
-void take_claim_event(control_state& state, const event& e, const claim_event& body, effects& out);
+void handle_claim_event(control_state& state, const event& e, const claim_event& body,
+                        effects& out);
 
 /// Updates the claim reducer's view of the live hosts from the membership state.
 void renew_claim_view(control_state& state);
--- a/source/control/reducer.cpp
+++ b/source/control/reducer.cpp
@@ -75,7 +75,7 @@
     tick_unreachable(state, e, out);
     tick_quarantine(state, e, out);
     tick_stop(state, e, out);
-    take_claim_event(state, e, claim_tick_event{}, out);
+    handle_claim_event(state, e, claim_tick_event{}, out);
 }
 
 } // namespace
@@ -114,7 +114,7 @@
             [&](const host_registered_event& body) { handle_host_registered(state, e, body, out); },
             [&](const peer_inventory_event& body) { handle_peer_inventory(state, e, body, out); },
             [&](const settings_changed_event& body) { state.self.seeds = body.seeds; },
-            [&](const claim_event& body) { take_claim_event(state, e, body, out); },
+            [&](const claim_event& body) { handle_claim_event(state, e, body, out); },
         },
         e.body);
     // In a large fleet many hosts change per second, and every snapshot is built from scratch.
