--- a/source/control/membership.cpp
+++ b/source/control/membership.cpp
@@ -368,7 +368,7 @@
         state.fleet.next_fetch = e.now + (state.self.has_inventory ? copy_patience : no_patience);
         out.emplace_back(fetch_fleet_effect{*peer});
     }
-    take_unreachable(state, e, message, out);
+    handle_unreachable_report(state, e, message, out);
     take_news(state, e, message, out);
     note_peer_inventory(state, e, message, *peer, out);
 }
--- a/source/control/unreachable_targets.cpp
+++ b/source/control/unreachable_targets.cpp
@@ -58,8 +58,8 @@
     }
 }
 
-void take_unreachable(control_state& state, const event& e, const gossip_message& message,
-                      effects& out)
+void handle_unreachable_report(control_state& state, const event& e, const gossip_message& message,
+                               effects& out)
 {
     for (const auto& id : message.unreachable) {
         if (state.fleet.configuration.targets.contains(id)) {
--- a/source/control/unreachable_targets.h
+++ b/source/control/unreachable_targets.h
@@ -22,8 +22,8 @@
                              effects& out);
 
 /// Excludes the targets that another host of the region reported.
-void take_unreachable(control_state& state, const event& e, const gossip_message& message,
-                      effects& out);
+void handle_unreachable_report(control_state& state, const event& e, const gossip_message& message,
+                               effects& out);
 
 /// Reports the targets noted since the last tick, and ends exclusions that have expired.
 void tick_unreachable(control_state& state, const event& e, effects& out);
