--- a/source/control/reducer.cpp
+++ b/source/control/reducer.cpp
@@ -104,7 +104,7 @@
             [&](const peer_fleet_event& body) { handle_peer_fleet(state, e, body, out); },
             [&](const gossip_event& body) { handle_gossip(state, e, body.message, out); },
             [&](const target_report_event& body) { handle_target_report(state, e, body, out); },
-            [&](const probe_ended_event& body) { take_probe(state, e, body, out); },
+            [&](const probe_ended_event& body) { handle_probe_result(state, e, body, out); },
             [&](const stop_requested_event&) { request_stop(state, e, out); },
             [&](const traffic_ended_event&) { end_process(state, e, out); },
             [&](const crash_evidence_event& body) { handle_crash_evidence(state, e, body, out); },
--- a/source/control/target_health.cpp
+++ b/source/control/target_health.cpp
@@ -96,7 +96,8 @@
     }
 }
 
-void take_probe(control_state& state, const event& e, const probe_ended_event& probe, effects& out)
+void handle_probe_result(control_state& state, const event& e, const probe_ended_event& probe,
+                         effects& out)
 {
     const auto found = state.targets.find(probe.target);
     if (found == state.targets.end()) {
--- a/source/control/target_health.h
+++ b/source/control/target_health.h
@@ -16,7 +16,8 @@
 
 void handle_target_report(control_state& state, const event& e, const target_report_event& report,
                           effects& out);
-void take_probe(control_state& state, const event& e, const probe_ended_event& probe, effects& out);
+void handle_probe_result(control_state& state, const event& e, const probe_ended_event& probe,
+                         effects& out);
 
 /// Starts the probes of ejected targets that are due.
 void tick_health(control_state& state, const event& e, effects& out);
