--- a/source/control/membership.cpp
+++ b/source/control/membership.cpp
@@ -355,7 +355,7 @@
     const auto* peer = peer_endpoint(state, message.from);
     const auto& answer_to = peer != nullptr ? *peer : message.reply_address;
     if (answer_to.port != 0) {
-        take_probe(state, e, message, answer_to, out);
+        handle_probe_message(state, e, message, answer_to, out);
     }
     for (const auto& beat : message.heartbeats) {
         take_beat(state, e, beat, out);
--- a/source/control/probing.cpp
+++ b/source/control/probing.cpp
@@ -149,8 +149,8 @@
     return dead;
 }
 
-void take_probe(control_state& state, const event& e, const gossip_message& message,
-                const endpoint& peer, effects& out)
+void handle_probe_message(control_state& state, const event& e, const gossip_message& message,
+                          const endpoint& peer, effects& out)
 {
     auto& membership = state.membership;
     if (message.wants_reply) {
--- a/source/control/probing.h
+++ b/source/control/probing.h
@@ -39,7 +39,7 @@
 
 /// Answers pings, pings suspected hosts on behalf of others, and counts the message as a sign of
 /// life of its sender.
-void take_probe(control_state& state, const event& e, const gossip_message& message,
-                const endpoint& peer, effects& out);
+void handle_probe_message(control_state& state, const event& e, const gossip_message& message,
+                          const endpoint& peer, effects& out);
 
 } // namespace almondquay
