--- a/source/control/probing.cpp
+++ b/source/control/probing.cpp
@@ -122,7 +122,7 @@
         if (p.silent_since == monotonic_time{}) {
             p.silent_since = now;
         }
-        if (now - p.last_question >= probe_interval) {
+        if (now - p.last_question >= host_probe_interval) {
             p.last_question = now;
             ask_for_sign(state, *h, out);
         }
--- a/source/control/probing.h
+++ b/source/control/probing.h
@@ -16,7 +16,7 @@
 /// In failure domains with fewer hosts, heartbeats in gossip are frequent enough without probing.
 constexpr std::size_t min_probed_hosts = 3;
 /// Interval between two pings to the same neighbour.
-constexpr std::chrono::milliseconds probe_interval{500};
+constexpr std::chrono::milliseconds host_probe_interval{500};
 /// When a neighbour has been silent for this long, the one after it is pinged as well.
 constexpr std::chrono::milliseconds neighbour_patience{700};
 /// A neighbour that has not answered pings for this long is suspected.
