--- a/source/control/membership.cpp
+++ b/source/control/membership.cpp
@@ -369,7 +369,7 @@
         out.emplace_back(fetch_fleet_effect{*peer});
     }
     handle_unreachable_report(state, e, message, out);
-    take_news(state, e, message, out);
+    apply_announced_changes(state, e, message, out);
     note_peer_inventory(state, e, message, *peer, out);
 }
 
--- a/source/control/peer_inventory.cpp
+++ b/source/control/peer_inventory.cpp
@@ -311,7 +311,8 @@
     return text.size() <= max_recent_changes_bytes ? text : std::string();
 }
 
-void take_news(control_state& state, const event& e, const gossip_message& message, effects& out)
+void apply_announced_changes(control_state& state, const event& e, const gossip_message& message,
+                             effects& out)
 {
     if (message.recent_changes.empty() || !state.self.has_inventory || follows(state)) {
         return;
--- a/source/control/peer_inventory.h
+++ b/source/control/peer_inventory.h
@@ -28,7 +28,8 @@
 std::string news_of(const control_state& state, inventory_kind kind, store_revision since);
 
 /// Applies the changes carried by an announcement.
-void take_news(control_state& state, const event& e, const gossip_message& message, effects& out);
+void apply_announced_changes(control_state& state, const event& e, const gossip_message& message,
+                             effects& out);
 
 /// Applies the lists of a peer's copy that are newer than those of this host.
 void handle_peer_inventory(control_state& state, const event& e, const peer_inventory_event& answer,
