--- a/source/control/inventory_items.cpp
+++ b/source/control/inventory_items.cpp
@@ -167,8 +167,8 @@
     }
 }
 
-void take_item(control_state& state, const event& e, inventory_kind kind,
-               const inventory_item& item, effects& out)
+void apply_item(control_state& state, const event& e, inventory_kind kind,
+                const inventory_item& item, effects& out)
 {
     if (const auto* bad = std::get_if<unreadable_entry>(&item.entry)) {
         note_unreadable(state, e, kind, item, *bad, out);
--- a/source/control/inventory_items.h
+++ b/source/control/inventory_items.h
@@ -12,8 +12,8 @@
 
 /// Applies an entry read from the store. An entry that cannot be parsed counts as absent, like one
 /// that was deleted.
-void take_item(control_state& state, const event& e, inventory_kind kind,
-               const inventory_item& item, effects& out);
+void apply_item(control_state& state, const event& e, inventory_kind kind,
+                const inventory_item& item, effects& out);
 
 /// Applies the registration of a target; one with an older incarnation is ignored.
 void take_target(control_state& state, const event& e, const registered_target& entry,
--- a/source/control/inventory_sync.cpp
+++ b/source/control/inventory_sync.cpp
@@ -231,7 +231,7 @@
                const inventory_page& page, effects& out)
 {
     for (const auto& item : page.items) {
-        take_item(state, e, question.kind, item, out);
+        apply_item(state, e, question.kind, item, out);
     }
     if (question.follow) {
         take_changes(state, e, question, page, out);
@@ -260,7 +260,7 @@
     for (const auto& [id, m] : state.membership.members) {
         if (!m.alive && e.now - m.last_advance > long_dead && state.inventory.hosts.contains(id)) {
             out.emplace_back(remove_host_effect{id});
-            take_item(state, e, inventory_kind::hosts, {id.value, deleted_entry{}}, out);
+            apply_item(state, e, inventory_kind::hosts, {id.value, deleted_entry{}}, out);
             return;
         }
     }
