--- a/source/control/inventory_items.cpp
+++ b/source/control/inventory_items.cpp
@@ -94,7 +94,8 @@
 
 } // namespace
 
-void take_target(control_state& state, const event& e, const registered_target& entry, effects& out)
+void apply_target(control_state& state, const event& e, const registered_target& entry,
+                  effects& out)
 {
     auto& inventory = state.inventory;
     const auto& id = entry.what.id;
@@ -181,7 +182,7 @@
     if (const auto* envelope = std::get_if<fleet_envelope>(&item.entry)) {
         adopt(state, e, *envelope, "platform", out);
     } else if (const auto* t = std::get_if<registered_target>(&item.entry)) {
-        take_target(state, e, *t, out);
+        apply_target(state, e, *t, out);
     } else if (const auto* evacuated = std::get_if<evacuation>(&item.entry)) {
         note_evacuation(state, e, evacuated->domain, true, out);
     } else if (const auto* h = std::get_if<host>(&item.entry)) {
--- a/source/control/inventory_items.h
+++ b/source/control/inventory_items.h
@@ -16,8 +16,8 @@
                 const inventory_item& item, effects& out);
 
 /// Applies the registration of a target; one with an older incarnation is ignored.
-void take_target(control_state& state, const event& e, const registered_target& entry,
-                 effects& out);
+void apply_target(control_state& state, const event& e, const registered_target& entry,
+                  effects& out);
 
 void take_host(control_state& state, const host& h);
 
--- a/source/control/peer_inventory.cpp
+++ b/source/control/peer_inventory.cpp
@@ -95,7 +95,7 @@
 {
     if (kind == inventory_kind::targets) {
         for (const auto& t : copy.targets) {
-            take_target(state, e, t, out);
+            apply_target(state, e, t, out);
         }
     } else if (kind == inventory_kind::hosts) {
         for (const auto& h : copy.hosts) {
