--- a/source/control/inventory_items.cpp
+++ b/source/control/inventory_items.cpp
@@ -159,7 +159,7 @@
             {{"failure_domain", domain.value}}});
 }
 
-void take_host(control_state& state, const host& h)
+void apply_host(control_state& state, const host& h)
 {
     auto& known = state.inventory.hosts[h.id];
     if (!(known == h)) {
@@ -186,7 +186,7 @@
     } else if (const auto* evacuated = std::get_if<evacuation>(&item.entry)) {
         note_evacuation(state, e, evacuated->domain, true, out);
     } else if (const auto* h = std::get_if<host>(&item.entry)) {
-        take_host(state, *h);
+        apply_host(state, *h);
     } else {
         take_absence(state, e, kind, item.name, out);
     }
--- a/source/control/inventory_items.h
+++ b/source/control/inventory_items.h
@@ -19,7 +19,7 @@
 void apply_target(control_state& state, const event& e, const registered_target& entry,
                   effects& out);
 
-void take_host(control_state& state, const host& h);
+void apply_host(control_state& state, const host& h);
 
 /// Begins or ends the evacuation of a failure domain. When it ends, the domain's targets count as
 /// cold for the cold time of their service unless they register otherwise.
--- a/source/control/peer_inventory.cpp
+++ b/source/control/peer_inventory.cpp
@@ -99,7 +99,7 @@
         }
     } else if (kind == inventory_kind::hosts) {
         for (const auto& h : copy.hosts) {
-            take_host(state, h);
+            apply_host(state, h);
         }
     } else {
         for (const auto& domain : copy.evacuated) {
