--- a/source/control/inventory_items.cpp
+++ b/source/control/inventory_items.cpp
@@ -192,8 +192,8 @@
     }
 }
 
-void take_gone(control_state& state, const event& e, inventory_kind kind, const std::string& name,
-               std::chrono::milliseconds kept_for, effects& out)
+void apply_removal(control_state& state, const event& e, inventory_kind kind,
+                   const std::string& name, std::chrono::milliseconds kept_for, effects& out)
 {
     if (kind != inventory_kind::targets) {
         take_absence(state, e, kind, name, out);
--- a/source/control/inventory_items.h
+++ b/source/control/inventory_items.h
@@ -27,8 +27,8 @@
                      bool begins, effects& out);
 
 /// Removes an entry that a peer reports as deleted; a target is kept for another `kept_for`.
-void take_gone(control_state& state, const event& e, inventory_kind kind, const std::string& name,
-               std::chrono::milliseconds kept_for, effects& out);
+void apply_removal(control_state& state, const event& e, inventory_kind kind,
+                   const std::string& name, std::chrono::milliseconds kept_for, effects& out);
 
 /// Removes the entries that a complete list with the names `seen` no longer contains. Returns
 /// whether there were any.
--- a/source/control/peer_inventory.cpp
+++ b/source/control/peer_inventory.cpp
@@ -108,7 +108,7 @@
     }
     for (const auto& entry : copy.gone) {
         if (entry.kind == kind) {
-            take_gone(state, e, kind, entry.name, entry.kept_for, out);
+            apply_removal(state, e, kind, entry.name, entry.kept_for, out);
         }
     }
 }
@@ -142,7 +142,7 @@
     if (is_whole) {
         for (const auto& name : all_names(state.inventory, kind)) {
             if (!names.contains(name)) {
-                take_gone(state, e, kind, name, milliseconds{0}, out);
+                apply_removal(state, e, kind, name, milliseconds{0}, out);
             }
         }
     }
