--- a/source/control/inventory_items.cpp
+++ b/source/control/inventory_items.cpp
@@ -74,8 +74,8 @@
 }
 
 /// Handles an entry that was deleted or can no longer be read.
-void take_absence(control_state& state, const event& e, inventory_kind kind,
-                  const std::string& name, effects& out)
+void handle_absent_entry(control_state& state, const event& e, inventory_kind kind,
+                         const std::string& name, effects& out)
 {
     switch (kind) {
     case inventory_kind::configuration:
@@ -173,7 +173,7 @@
 {
     if (const auto* bad = std::get_if<unreadable_entry>(&item.entry)) {
         note_unreadable(state, e, kind, item, *bad, out);
-        take_absence(state, e, kind, item.name, out);
+        handle_absent_entry(state, e, kind, item.name, out);
         return;
     }
     if (!state.inventory.unreadable.empty()) {
@@ -188,7 +188,7 @@
     } else if (const auto* h = std::get_if<host>(&item.entry)) {
         apply_host(state, *h);
     } else {
-        take_absence(state, e, kind, item.name, out);
+        handle_absent_entry(state, e, kind, item.name, out);
     }
 }
 
@@ -196,7 +196,7 @@
                    const std::string& name, std::chrono::milliseconds kept_for, effects& out)
 {
     if (kind != inventory_kind::targets) {
-        take_absence(state, e, kind, name, out);
+        handle_absent_entry(state, e, kind, name, out);
         return;
     }
     const target_id id(name);
@@ -226,7 +226,7 @@
         collect(state.inventory.hosts, [](const auto& entry) { return entry.first.value; });
     }
     for (const auto& name : gone) {
-        take_absence(state, e, kind, name, out);
+        handle_absent_entry(state, e, kind, name, out);
     }
     return !gone.empty();
 }
