--- a/source/control/inventory_sync.cpp
+++ b/source/control/inventory_sync.cpp
@@ -227,8 +227,8 @@
     }
 }
 
-void take_page(control_state& state, const event& e, const inventory_query& question,
-               const inventory_page& page, effects& out)
+void apply_page(control_state& state, const event& e, const inventory_query& question,
+                const inventory_page& page, effects& out)
 {
     for (const auto& item : page.items) {
         apply_item(state, e, question.kind, item, out);
@@ -311,7 +311,7 @@
     if (succeeded(read.page)) {
         list.failures = 0;
         note_store(state, e, true, "", out);
-        take_page(state, e, read.question, value_of(read.page), out);
+        apply_page(state, e, read.question, value_of(read.page), out);
     } else {
         take_failure(state, e, list, error_of(read.page), out);
     }
