--- a/source/control/inventory_sync.cpp
+++ b/source/control/inventory_sync.cpp
@@ -164,8 +164,8 @@
 
 /// Applies a page of a list that is being read completely. The list's revision changes only with
 /// its last page: until then neither this host nor a peer may rely on the list.
-void take_list_page(control_state& state, const event& e, const inventory_query& question,
-                    const inventory_page& page, effects& out)
+void apply_list_page(control_state& state, const event& e, const inventory_query& question,
+                     const inventory_page& page, effects& out)
 {
     auto& list = list_of(state.inventory, question.kind);
     list.next_call = e.now;
@@ -236,7 +236,7 @@
     if (question.follow) {
         take_changes(state, e, question, page, out);
     } else {
-        take_list_page(state, e, question, page, out);
+        apply_list_page(state, e, question, page, out);
     }
 }
 
