--- a/source/control/inventory_sync.cpp
+++ b/source/control/inventory_sync.cpp
@@ -201,8 +201,8 @@
     state.inventory.repeats_announcement = true;
 }
 
-void take_changes(control_state& state, const event& e, const inventory_query& question,
-                  const inventory_page& page, effects& out)
+void apply_changes(control_state& state, const event& e, const inventory_query& question,
+                   const inventory_page& page, effects& out)
 {
     auto& list = list_of(state.inventory, question.kind);
     const bool has_changes = !page.items.empty();
@@ -234,7 +234,7 @@
         apply_item(state, e, question.kind, item, out);
     }
     if (question.follow) {
-        take_changes(state, e, question, page, out);
+        apply_changes(state, e, question, page, out);
     } else {
         apply_list_page(state, e, question, page, out);
     }
