--- a/source/control/peer_inventory.cpp
+++ b/source/control/peer_inventory.cpp
@@ -132,8 +132,8 @@
     return names;
 }
 
-void take_list(control_state& state, const event& e, inventory_kind kind,
-               const inventory_copy& copy, effects& out)
+void apply_list(control_state& state, const event& e, inventory_kind kind,
+                const inventory_copy& copy, effects& out)
 {
     const auto i = static_cast<std::size_t>(kind);
     const bool is_whole = copy.since.at(i).value == 0;
@@ -295,7 +295,7 @@
         const bool is_wanted =
             kind != inventory_kind::configuration && is_news(state.inventory.lists.at(i), copy, i);
         if (is_wanted) {
-            take_list(state, e, kind, copy, out);
+            apply_list(state, e, kind, copy, out);
         }
     }
     start_serving_if_ready(state, e, out);
