--- a/source/control/peer_inventory.cpp
+++ b/source/control/peer_inventory.cpp
@@ -90,8 +90,8 @@
     return is_newer && (is_whole || (list.is_complete && copy.since.at(i) <= list.at));
 }
 
-void take_entries(control_state& state, const event& e, inventory_kind kind,
-                  const inventory_copy& copy, effects& out)
+void apply_entries(control_state& state, const event& e, inventory_kind kind,
+                   const inventory_copy& copy, effects& out)
 {
     if (kind == inventory_kind::targets) {
         for (const auto& t : copy.targets) {
@@ -137,7 +137,7 @@
 {
     const auto i = static_cast<std::size_t>(kind);
     const bool is_whole = copy.since.at(i).value == 0;
-    take_entries(state, e, kind, copy, out);
+    apply_entries(state, e, kind, copy, out);
     auto names = named(copy, kind);
     if (is_whole) {
         for (const auto& name : all_names(state.inventory, kind)) {
