--- a/source/control/inventory_sync.cpp
+++ b/source/control/inventory_sync.cpp
@@ -120,8 +120,8 @@
             {{"away_ms", std::to_string(away_ms)}, {"why", why}}});
 }
 
-void take_failure(control_state& state, const event& e, inventory_list& list, const error& problem,
-                  effects& out)
+void handle_failure(control_state& state, const event& e, inventory_list& list,
+                    const error& problem, effects& out)
 {
     if (problem.code == result_code::platform_history_lost) {
         list.is_following = false;
@@ -313,7 +313,7 @@
         note_store(state, e, true, "", out);
         apply_page(state, e, read.question, value_of(read.page), out);
     } else {
-        take_failure(state, e, list, error_of(read.page), out);
+        handle_failure(state, e, list, error_of(read.page), out);
     }
     state.fleet.platform_answered = true;
     const bool is_due = !list.call_running && e.now >= list.next_call;
