--- a/source/control/membership.cpp
+++ b/source/control/membership.cpp
@@ -217,7 +217,8 @@
 /// Declares a host dead that another host reports as dead, unless a newer heartbeat is known. A
 /// host that is not known yet is recorded as dead, so that its older heartbeats, which may still
 /// arrive, are ignored.
-void take_death(control_state& state, const event& e, const member_heartbeat& beat, effects& out)
+void handle_reported_death(control_state& state, const event& e, const member_heartbeat& beat,
+                           effects& out)
 {
     auto [place, is_new] = state.membership.members.try_emplace(beat.id);
     auto& m = place->second;
@@ -239,7 +240,7 @@
         return;
     }
     if (beat.dead) {
-        take_death(state, e, beat, out);
+        handle_reported_death(state, e, beat, out);
         return;
     }
     auto [place, is_new] = state.membership.members.try_emplace(beat.id);
