--- a/source/control/membership.cpp
+++ b/source/control/membership.cpp
@@ -234,7 +234,8 @@
     }
 }
 
-void take_beat(control_state& state, const event& e, const member_heartbeat& beat, effects& out)
+void handle_heartbeat(control_state& state, const event& e, const member_heartbeat& beat,
+                      effects& out)
 {
     if (beat.id == state.self.host) {
         return;
@@ -359,7 +360,7 @@
         handle_probe_message(state, e, message, answer_to, out);
     }
     for (const auto& beat : message.heartbeats) {
-        take_beat(state, e, beat, out);
+        handle_heartbeat(state, e, beat, out);
     }
     if (peer == nullptr) {
         return;
