--- a/source/control/membership.cpp
+++ b/source/control/membership.cpp
@@ -182,7 +182,7 @@
     (state.self.has_inventory ? state.hosts_changed : state.snapshot_is_stale) = true;
 }
 
-void mark_dead(control_state& state, const event& e, const host_id& id, member& m, effects& out)
+void declare_dead(control_state& state, const event& e, const host_id& id, member& m, effects& out)
 {
     m.alive = false;
     m.died = e.now;
@@ -229,7 +229,7 @@
     if (m.alive && std::tie(beat.life, beat.beat) >= std::tie(m.life, m.beat)) {
         m.life = beat.life;
         m.beat = beat.beat;
-        mark_dead(state, e, beat.id, m, out);
+        declare_dead(state, e, beat.id, m, out);
         m.death_is_told = true;
     }
 }
@@ -279,7 +279,7 @@
     // Others may know later heartbeats than this host; this is the most it can have sent since.
     m.beat += static_cast<std::uint64_t>((e.now - m.last_advance) / tick_interval);
     state.membership.probed.erase(id);
-    mark_dead(state, e, id, m, out);
+    declare_dead(state, e, id, m, out);
     m.death_is_told = true;
     auto message = make_message(state);
     message.heartbeats.push_back({id, m.life, m.beat, m.leaving, true, m.starting});
@@ -339,7 +339,7 @@
         }
         const bool is_of_near = is_near(state, domains, id);
         if (e.now - m.last_advance > (is_of_near ? near : far)) {
-            mark_dead(state, e, id, m, out);
+            declare_dead(state, e, id, m, out);
             m.death_is_told = is_of_near;
         }
     }
