--- a/source/control/membership.cpp
+++ b/source/control/membership.cpp
@@ -273,7 +273,7 @@
 
 /// Declares a neighbour dead after an unrefuted suspicion. Tells the failure domain and a few hosts
 /// of each other domain, where gossip spreads it further.
-void bury(control_state& state, const event& e, const host_id& id, effects& out)
+void confirm_suspicion(control_state& state, const event& e, const host_id& id, effects& out)
 {
     auto& m = state.membership.members.at(id);
     // Others may know later heartbeats than this host; this is the most it can have sent since.
@@ -344,7 +344,7 @@
         }
     }
     for (const auto& id : tick_probing(state, e.now, out)) {
-        bury(state, e, id, out);
+        confirm_suspicion(state, e, id, out);
     }
     state.clock = advance(state.clock, e.wall);
     send_gossip(state, domains, passed, out);
