--- a/source/control/membership.cpp
+++ b/source/control/membership.cpp
@@ -259,7 +259,7 @@
 }
 
 /// While this process was paused it received no heartbeats, so the pause does not count as silence.
-void forgive_own_pause(membership_state& membership, monotonic_time now)
+void exclude_own_pause(membership_state& membership, monotonic_time now)
 {
     const auto gap = now - membership.last_tick;
     const bool was_paused = membership.last_tick != monotonic_time{} && gap > pause_threshold;
@@ -328,7 +328,7 @@
 void tick_membership(control_state& state, const event& e, effects& out)
 {
     const auto passed = e.now - state.membership.last_tick;
-    forgive_own_pause(state.membership, e.now);
+    exclude_own_pause(state.membership, e.now);
     ++state.membership.own_beat;
     const auto far = far_timeout(state.fleet.configuration.hosts.size());
     const auto domains = near_domains(state);
