--- a/source/control/membership.cpp
+++ b/source/control/membership.cpp
@@ -76,7 +76,7 @@
 
 bool is_urgent_death(const member& m, monotonic_time now)
 {
-    return !m.alive && m.death_is_told && now - m.died < urgent_news_time;
+    return !m.alive && m.is_death_confirmed && now - m.died < urgent_news_time;
 }
 
 void add_some(control_state& state, std::vector<const member_entry*> entries, std::size_t most,
@@ -106,7 +106,7 @@
         // Deaths are gossiped for a while: other domains would detect them much later by
         // themselves.
         const bool is_news =
-            entry.second.death_is_told && now - entry.second.died < death_news_time;
+            entry.second.is_death_confirmed && now - entry.second.died < death_news_time;
         if (entry.second.alive || is_news) {
             (is_near(state, near_domains, entry.first) ? near : far).push_back(&entry);
         }
@@ -230,7 +230,7 @@
         m.life = beat.life;
         m.beat = beat.beat;
         declare_dead(state, e, beat.id, m, out);
-        m.death_is_told = true;
+        m.is_death_confirmed = true;
     }
 }
 
@@ -280,7 +280,7 @@
     m.beat += static_cast<std::uint64_t>((e.now - m.last_advance) / tick_interval);
     state.membership.probed.erase(id);
     declare_dead(state, e, id, m, out);
-    m.death_is_told = true;
+    m.is_death_confirmed = true;
     auto message = make_message(state);
     message.heartbeats.push_back({id, m.life, m.beat, m.leaving, true, m.starting});
     std::map<failure_domain_id, std::size_t> told;
@@ -340,7 +340,7 @@
         const bool is_of_near = is_near(state, domains, id);
         if (e.now - m.last_advance > (is_of_near ? near : far)) {
             declare_dead(state, e, id, m, out);
-            m.death_is_told = is_of_near;
+            m.is_death_confirmed = is_of_near;
         }
     }
     for (const auto& id : tick_probing(state, e.now, out)) {
--- a/source/control/state.h
+++ b/source/control/state.h
@@ -47,9 +47,9 @@
     bool leaving = false;
     bool starting = false; ///< does not serve yet
     bool alive = false;
-    bool death_is_told = false;    ///< by a host of its domain, which gets its beats directly
-    monotonic_time died{};         ///< when this host declared it dead
-    monotonic_time last_advance{}; ///< when (life, beat) last increased on this host
+    bool is_death_confirmed = false; ///< by a host of its domain, which gets its beats directly
+    monotonic_time died{};           ///< when this host declared it dead
+    monotonic_time last_advance{};   ///< when (life, beat) last increased on this host
 };
 
 /// A ring neighbour that this host pings.
