--- a/source/control/store_followers.cpp
+++ b/source/control/store_followers.cpp
@@ -142,7 +142,7 @@
     return now - confirmed >= takeover_age(state, kind) + later;
 }
 
-std::vector<const host*> heirs(const control_state& state, monotonic_time now)
+std::vector<const host*> standby_followers(const control_state& state, monotonic_time now)
 {
     std::vector<const host*> next;
     const auto all = ranked_at_home(state, now);
--- a/source/control/store_followers.h
+++ b/source/control/store_followers.h
@@ -32,7 +32,7 @@
 bool follows_store(const control_state& state, monotonic_time now);
 
 /// The standby followers, those of the same region before others.
-std::vector<const host*> heirs(const control_state& state, monotonic_time now);
+std::vector<const host*> standby_followers(const control_state& state, monotonic_time now);
 
 /// The followers of all regions, ordered by rank within each region.
 std::vector<const host*> all_followers(const control_state& state, monotonic_time now);
