--- a/source/control/store_followers.cpp
+++ b/source/control/store_followers.cpp
@@ -146,7 +146,7 @@
 {
     std::vector<const host*> next;
     const auto all = ranked_at_home(state, now);
-    const auto end = std::min(all.size(), followers_per_region + heirs_per_region);
+    const auto end = std::min(all.size(), followers_per_region + standbys_per_region);
     for (auto i = followers_per_region; i < end; ++i) {
         next.push_back(all[i].who);
     }
