--- a/source/control/store_followers.cpp
+++ b/source/control/store_followers.cpp
@@ -154,10 +154,10 @@
     for (const auto& region : other_regions(state)) {
         others.push_back(ranked(state, region, now));
     }
-    for (std::size_t i = followers_per_region; next.size() < max_heirs_told; ++i) {
+    for (std::size_t i = followers_per_region; next.size() < max_standbys_notified; ++i) {
         const auto before = next.size();
         for (const auto& hosts : others) {
-            if (i < hosts.size() && next.size() < max_heirs_told) {
+            if (i < hosts.size() && next.size() < max_standbys_notified) {
                 next.push_back(hosts[i].who);
             }
         }
--- a/source/control/store_followers.h
+++ b/source/control/store_followers.h
@@ -16,7 +16,7 @@
 /// Standby followers, the hosts that would take over first, are sent confirmations directly: up to
 /// this many in the same region, and up to this many in total.
 constexpr std::size_t standbys_per_region = 4;
-constexpr std::size_t max_heirs_told = 8;
+constexpr std::size_t max_standbys_notified = 8;
 /// The first standby queries the store this long before a change would have to be in force.
 constexpr std::chrono::milliseconds takeover_margin{600};
 constexpr std::chrono::milliseconds evacuation_takeover_age{3'500};
