--- a/source/control/inventory_sync.cpp
+++ b/source/control/inventory_sync.cpp
@@ -26,7 +26,7 @@
 const store_revision known_empty{1};
 /// Targets and hosts often change many at a time. A delay before the next query batches their
 /// changes in one answer; it is short compared to the seconds that a leaving target keeps serving.
-constexpr std::chrono::milliseconds swarm_pause{800};
+constexpr std::chrono::milliseconds target_batching_delay{800};
 /// Gossip shows earlier which of the listed hosts are alive, so this delays only new hosts.
 constexpr std::chrono::milliseconds host_swarm_pause{2'000};
 
@@ -152,7 +152,7 @@
 {
     switch (kind) {
     case inventory_kind::targets:
-        return swarm_pause;
+        return target_batching_delay;
     case inventory_kind::hosts:
         return host_swarm_pause;
     case inventory_kind::configuration:
