--- a/source/control/inventory_sync.cpp
+++ b/source/control/inventory_sync.cpp
@@ -28,7 +28,7 @@
 /// changes in one answer; it is short compared to the seconds that a leaving target keeps serving.
 constexpr std::chrono::milliseconds target_batching_delay{800};
 /// Gossip shows earlier which of the listed hosts are alive, so this delays only new hosts.
-constexpr std::chrono::milliseconds host_swarm_pause{2'000};
+constexpr std::chrono::milliseconds host_batching_delay{2'000};
 
 std::chrono::milliseconds backoff(control_state& state, unsigned failures)
 {
@@ -154,7 +154,7 @@
     case inventory_kind::targets:
         return target_batching_delay;
     case inventory_kind::hosts:
-        return host_swarm_pause;
+        return host_batching_delay;
     case inventory_kind::configuration:
     case inventory_kind::evacuations:
         break;
