--- a/source/control/inventory_sync.cpp
+++ b/source/control/inventory_sync.cpp
@@ -287,7 +287,7 @@
     for (std::size_t i = 0; i < inventory_kinds; ++i) {
         const auto& list = state.inventory.lists.at(i);
         const bool is_late = list.is_following && list.behind_since != monotonic_time{} &&
-                             e.now - list.behind_since >= behind_patience;
+                             e.now - list.behind_since >= max_lag_behind_peer;
         const auto kind = static_cast<inventory_kind>(i);
         const bool is_due = (!list.call_running || is_late) && e.now >= list.next_call;
         if (is_due && may_ask_store(state, kind, e.now)) {
--- a/source/control/inventory_sync.h
+++ b/source/control/inventory_sync.h
@@ -23,7 +23,7 @@
 constexpr std::chrono::milliseconds longest_evacuation_wait{5'000};
 constexpr std::chrono::milliseconds follow_interval{750};
 /// A list that stays behind a peer's copy for this long is queried again.
-constexpr std::chrono::milliseconds behind_patience{150};
+constexpr std::chrono::milliseconds max_lag_behind_peer{150};
 /// Targets whose entries expired during an outage are expected to register again within this time
 /// after its end.
 constexpr std::chrono::milliseconds return_time{2'000};
