--- a/source/control/membership.cpp
+++ b/source/control/membership.cpp
@@ -367,7 +367,8 @@
     }
     const auto own = state.fleet.envelope ? state.fleet.envelope->number : generation{};
     if (message.in_force > own && e.now >= state.fleet.next_fetch) {
-        state.fleet.next_fetch = e.now + (state.self.has_inventory ? copy_patience : no_patience);
+        state.fleet.next_fetch =
+            e.now + (state.self.has_inventory ? copy_request_interval : no_patience);
         out.emplace_back(fetch_fleet_effect{*peer});
     }
     handle_unreachable_report(state, e, message, out);
--- a/source/control/peer_inventory.cpp
+++ b/source/control/peer_inventory.cpp
@@ -167,7 +167,7 @@
         }
     }
     list.call_running = false;
-    list.next_call = e.now + (list.failures == 0 ? milliseconds{0} : copy_patience);
+    list.next_call = e.now + (list.failures == 0 ? milliseconds{0} : copy_request_interval);
 }
 
 bool is_behind(const inventory_list& list, store_revision theirs)
@@ -180,7 +180,7 @@
     if (e.now < state.inventory.next_peer_question) {
         return;
     }
-    state.inventory.next_peer_question = e.now + copy_patience;
+    state.inventory.next_peer_question = e.now + copy_request_interval;
     inventory_revisions have{};
     for (std::size_t i = 0; i < inventory_kinds; ++i) {
         const auto& list = state.inventory.lists.at(i);
--- a/source/control/peer_inventory.h
+++ b/source/control/peer_inventory.h
@@ -10,7 +10,7 @@
 namespace almondquay {
 
 /// Minimum interval between two requests for a peer's copy.
-constexpr std::chrono::milliseconds copy_patience{300};
+constexpr std::chrono::milliseconds copy_request_interval{300};
 
 /// The revision of each list on this host; 0 for a list that is not complete.
 inventory_revisions revisions_of(const inventory_state& inventory);
