--- a/source/control/membership.cpp
+++ b/source/control/membership.cpp
@@ -25,7 +25,7 @@
 /// Deaths more recent than this take precedence over other heartbeats.
 constexpr std::chrono::seconds urgent_news_time{10};
 constexpr std::size_t hosts_told_of_death_elsewhere = 4;
-constexpr std::chrono::milliseconds no_patience{0};
+constexpr std::chrono::milliseconds no_request_interval{0};
 /// One message in three goes to another failure domain.
 constexpr std::uint64_t far_turn = 3;
 /// Size of a message without heartbeats: signature, header, time, generation, fingerprint and the
@@ -368,7 +368,7 @@
     const auto own = state.fleet.envelope ? state.fleet.envelope->number : generation{};
     if (message.in_force > own && e.now >= state.fleet.next_fetch) {
         state.fleet.next_fetch =
-            e.now + (state.self.has_inventory ? copy_request_interval : no_patience);
+            e.now + (state.self.has_inventory ? copy_request_interval : no_request_interval);
         out.emplace_back(fetch_fleet_effect{*peer});
     }
     handle_unreachable_report(state, e, message, out);
