--- a/source/control/store_followers.cpp
+++ b/source/control/store_followers.cpp
@@ -130,7 +130,7 @@
 bool may_ask_store(const control_state& state, inventory_kind kind, monotonic_time now)
 {
     if (!list_of(state.inventory, inventory_kind::hosts).is_complete) {
-        const bool is_alone = now - state.started >= seed_patience;
+        const bool is_alone = now - state.started >= store_query_delay;
         return is_seed(state) || (kind == inventory_kind::hosts && is_alone);
     }
     const auto rank = state.inventory.own_rank;
--- a/source/control/store_followers.h
+++ b/source/control/store_followers.h
@@ -24,7 +24,7 @@
 /// Each further standby waits this much longer.
 constexpr std::chrono::milliseconds takeover_step{200};
 /// A starting host queries the seeds first, and the store only after this time unless it is a seed.
-constexpr std::chrono::milliseconds seed_patience{1'200};
+constexpr std::chrono::milliseconds store_query_delay{1'200};
 
 /// The rank of this host among the live hosts of its region; 0 is the first.
 std::size_t rank_in_region(const control_state& state, monotonic_time now);
