--- a/source/control/probing.cpp
+++ b/source/control/probing.cpp
@@ -141,7 +141,7 @@
             p.last_refutation = now;
             ask_to_refute(state, *h, ring, out);
         }
-        if (silence < neighbour_patience) {
+        if (silence < next_neighbour_delay) {
             break;
         }
     }
