--- a/source/control/inventory_sync.cpp
+++ b/source/control/inventory_sync.cpp
@@ -223,7 +223,7 @@
         state.inventory.repeats_announcement = true;
     } else if (question.kind == inventory_kind::configuration ||
                question.kind == inventory_kind::targets) {
-        tell(state, standby_followers(state, e.now), out);
+        send_state(state, standby_followers(state, e.now), out);
     }
 }
 
--- a/source/control/membership.cpp
+++ b/source/control/membership.cpp
@@ -394,7 +394,7 @@
     }
 }
 
-void tell(control_state& state, const std::vector<const host*>& hosts, effects& out)
+void send_state(control_state& state, const std::vector<const host*>& hosts, effects& out)
 {
     const auto message = make_message(state);
     for (const auto* h : hosts) {
--- a/source/control/membership.h
+++ b/source/control/membership.h
@@ -46,7 +46,7 @@
 gossip_message make_message(const control_state& state);
 
 /// Sends the host's generation and inventory revisions to the given hosts.
-void tell(control_state& state, const std::vector<const host*>& hosts, effects& out);
+void send_state(control_state& state, const std::vector<const host*>& hosts, effects& out);
 
 /// Live hosts that are neither starting nor leaving, including this one while it serves.
 std::set<host_id> live_hosts(const control_state& state);
