--- a/source/control/unreachable_targets.cpp
+++ b/source/control/unreachable_targets.cpp
@@ -28,7 +28,7 @@
     return true;
 }
 
-void tell_region(control_state& state, effects& out)
+void notify_region(control_state& state, effects& out)
 {
     auto& news = state.unreachable_news;
     auto message = make_message(state);
@@ -84,7 +84,7 @@
         }
     }
     if (!state.unreachable_news.empty()) {
-        tell_region(state, out);
+        notify_region(state, out);
     }
 }
 
