--- a/source/control/quarantine.cpp
+++ b/source/control/quarantine.cpp
@@ -51,8 +51,8 @@
 /// crash evidence themselves. The first follower of each region sends to all hosts and the second
 /// one to those of its own region, so that every host is told several times and the loss of one
 /// follower leaves none out.
-void tell_named(const control_state& state, request_fingerprint fingerprint, const suspect& s,
-                effects& out)
+void share_quarantine_evidence(const control_state& state, request_fingerprint fingerprint,
+                               const suspect& s, effects& out)
 {
     if (!collects_at_followers(state) || !hears_all_evidence(state)) {
         return;
@@ -118,7 +118,7 @@
          {{"fingerprint", std::to_string(fingerprint)},
           {"crashes", std::to_string(s.targets.size())}}});
     state.snapshot_is_stale = true;
-    tell_named(state, fingerprint, s, out);
+    share_quarantine_evidence(state, fingerprint, s, out);
 }
 
 void end_quarantine(control_state& state, const event& e, request_fingerprint fingerprint,
