--- a/source/control/quarantine.cpp
+++ b/source/control/quarantine.cpp
@@ -30,7 +30,7 @@
     return !collects_at_followers(state) || state.inventory.own_rank < followers_per_region;
 }
 
-void pass_on(const control_state& state, const crash_evidence& evidence, effects& out)
+void forward_evidence(const control_state& state, const crash_evidence& evidence, effects& out)
 {
     if (collects_at_followers(state)) {
         for (const auto* h : all_followers(state, state.now)) {
@@ -147,7 +147,7 @@
     if (!evidence.from_peer && !hears_all_evidence(state)) {
         // Without the evidence of other hosts this one could identify the wrong request.
         if (state.fleet.configuration.targets.contains(evidence.what.target)) {
-            pass_on(state, evidence.what, out);
+            forward_evidence(state, evidence.what, out);
         }
         return;
     }
@@ -161,7 +161,7 @@
     s.latest = e.now;
     const bool is_new = s.targets.insert(evidence.what.target).second;
     if (is_new && !evidence.from_peer) {
-        pass_on(state, evidence.what, out);
+        forward_evidence(state, evidence.what, out);
     }
 }
 
