--- a/source/control/quarantine.cpp
+++ b/source/control/quarantine.cpp
@@ -25,7 +25,7 @@
 }
 
 /// Whether this host receives the crash evidence of all hosts.
-bool hears_all_evidence(const control_state& state)
+bool receives_all_evidence(const control_state& state)
 {
     return !collects_at_followers(state) || state.inventory.own_rank < followers_per_region;
 }
@@ -54,7 +54,7 @@
 void share_quarantine_evidence(const control_state& state, request_fingerprint fingerprint,
                                const suspect& s, effects& out)
 {
-    if (!collects_at_followers(state) || !hears_all_evidence(state)) {
+    if (!collects_at_followers(state) || !receives_all_evidence(state)) {
         return;
     }
     const auto& text = state.fleet.configuration;
@@ -144,7 +144,7 @@
                            const crash_evidence_event& evidence, effects& out)
 {
     const auto fingerprint = evidence.what.fingerprint;
-    if (!evidence.from_peer && !hears_all_evidence(state)) {
+    if (!evidence.from_peer && !receives_all_evidence(state)) {
         // Without the evidence of other hosts this one could identify the wrong request.
         if (state.fleet.configuration.targets.contains(evidence.what.target)) {
             forward_evidence(state, evidence.what, out);
