--- a/source/control/quarantine.cpp
+++ b/source/control/quarantine.cpp
@@ -18,7 +18,7 @@
 }
 
 /// Whether crash evidence is sent only to the followers of the store.
-bool collects_at_followers(const control_state& state)
+bool sends_evidence_to_followers(const control_state& state)
 {
     return state.self.has_inventory &&
            state.fleet.configuration.hosts.size() > max_hosts_told_of_each_crash;
@@ -27,12 +27,12 @@
 /// Whether this host receives the crash evidence of all hosts.
 bool receives_all_evidence(const control_state& state)
 {
-    return !collects_at_followers(state) || state.inventory.own_rank < followers_per_region;
+    return !sends_evidence_to_followers(state) || state.inventory.own_rank < followers_per_region;
 }
 
 void forward_evidence(const control_state& state, const crash_evidence& evidence, effects& out)
 {
-    if (collects_at_followers(state)) {
+    if (sends_evidence_to_followers(state)) {
         for (const auto* h : all_followers(state, state.now)) {
             if (h->id != state.self.host) {
                 out.emplace_back(share_evidence_effect{h->peers, evidence});
@@ -54,7 +54,7 @@
 void share_quarantine_evidence(const control_state& state, request_fingerprint fingerprint,
                                const suspect& s, effects& out)
 {
-    if (!collects_at_followers(state) || !receives_all_evidence(state)) {
+    if (!sends_evidence_to_followers(state) || !receives_all_evidence(state)) {
         return;
     }
     const auto& text = state.fleet.configuration;
