--- a/source/control/quarantine.cpp
+++ b/source/control/quarantine.cpp
@@ -95,8 +95,8 @@
 
 /// Whether the evidence identifies this request as the cause. The evidence about all requests in
 /// flight at a crash arrives at about the same time, so the latest must be `evidence_settles` old.
-bool is_named(const control_state& state, const event& e, request_fingerprint fingerprint,
-              const suspect& s)
+bool is_identified(const control_state& state, const event& e, request_fingerprint fingerprint,
+                   const suspect& s)
 {
     return s.targets.size() >= crashes_to_quarantine && e.now - s.latest >= evidence_settles &&
            !state.quarantined.contains(fingerprint) && !is_ambiguous(state, fingerprint, s);
@@ -183,7 +183,7 @@
         return e.now - entry.second.latest > evidence_lifetime;
     });
     for (const auto& [fingerprint, s] : state.suspects) {
-        if (is_named(state, e, fingerprint, s)) {
+        if (is_identified(state, e, fingerprint, s)) {
             quarantine(state, e, fingerprint, s, out);
         }
     }
