--- a/source/control/quarantine.cpp
+++ b/source/control/quarantine.cpp
@@ -94,12 +94,14 @@
 }
 
 /// Whether the evidence identifies this request as the cause. The evidence about all requests in
-/// flight at a crash arrives at about the same time, so the latest must be `evidence_settles` old.
+/// flight at a crash arrives at about the same time, so the latest must be `evidence_settling_time`
+/// old.
 bool is_identified(const control_state& state, const event& e, request_fingerprint fingerprint,
                    const suspect& s)
 {
-    return s.targets.size() >= crashes_to_quarantine && e.now - s.latest >= evidence_settles &&
-           !state.quarantined.contains(fingerprint) && !is_ambiguous(state, fingerprint, s);
+    return s.targets.size() >= crashes_to_quarantine &&
+           e.now - s.latest >= evidence_settling_time && !state.quarantined.contains(fingerprint) &&
+           !is_ambiguous(state, fingerprint, s);
 }
 
 void quarantine(control_state& state, const event& e, request_fingerprint fingerprint,
--- a/source/control/quarantine.h
+++ b/source/control/quarantine.h
@@ -16,7 +16,7 @@
 /// unless another request was in flight at as many of them or it has been served since.
 constexpr std::size_t crashes_to_quarantine = 2;
 /// Evidence about the other requests in flight at a crash may arrive until this long afterwards.
-constexpr std::chrono::milliseconds evidence_settles{200};
+constexpr std::chrono::milliseconds evidence_settling_time{200};
 /// Evidence older than this no longer counts.
 constexpr std::chrono::minutes evidence_lifetime{5};
 constexpr std::chrono::minutes quarantine_time{10};
