--- a/source/control/inventory_sync.cpp
+++ b/source/control/inventory_sync.cpp
@@ -218,7 +218,7 @@
     if (has_changes) {
         state.inventory.news = question.kind == inventory_kind::configuration
                                    ? std::string()
-                                   : news_of(state, question.kind, before);
+                                   : encode_changes(state, question.kind, before);
         announce(state, out);
         state.inventory.repeats_announcement = true;
     } else if (question.kind == inventory_kind::configuration ||
--- a/source/control/peer_inventory.cpp
+++ b/source/control/peer_inventory.cpp
@@ -301,7 +301,7 @@
     start_serving_if_ready(state, e, out);
 }
 
-std::string news_of(const control_state& state, inventory_kind kind, store_revision since)
+std::string encode_changes(const control_state& state, inventory_kind kind, store_revision since)
 {
     inventory_revisions have;
     have.fill(all_known);
--- a/source/control/peer_inventory.h
+++ b/source/control/peer_inventory.h
@@ -25,7 +25,7 @@
 
 /// Encodes the changes of one list after `since` for an announcement. Empty if they are not known
 /// or too large for one message.
-std::string news_of(const control_state& state, inventory_kind kind, store_revision since);
+std::string encode_changes(const control_state& state, inventory_kind kind, store_revision since);
 
 /// Applies the changes carried by an announcement.
 void apply_announced_changes(control_state& state, const event& e, const gossip_message& message,
