--- a/source/control/inventory_sync.cpp
+++ b/source/control/inventory_sync.cpp
@@ -70,7 +70,7 @@
                                   shortest_follow_wait, longest_wait(kind));
     // A change completes the long polls of all followers at the same time, so the first wait after
     // it differs between them and the later answers without changes are spread over time.
-    return list_of(state.inventory, kind).had_news
+    return list_of(state.inventory, kind).had_changes
                ? whole * static_cast<int>(place + 1) / static_cast<int>(followers)
                : whole;
 }
@@ -187,7 +187,7 @@
     list.page_after.clear();
     list.is_complete = true;
     list.is_following = true;
-    list.had_news = true;
+    list.had_changes = true;
     list.at = list.read_at;
     list.confirmed = list.asked_at;
     // A list does not show deletions, and changes after its first page are not known yet.
@@ -210,7 +210,7 @@
     list.changed = std::max(list.changed, latest_change(page));
     list.at = page.at;
     list.confirmed = e.now;
-    list.had_news = has_changes;
+    list.had_changes = has_changes;
     list.next_call = has_changes ? e.now + pause_after(question.kind) : e.now;
     for (const auto& item : page.items) {
         note_change(state.inventory, question.kind, list.changed, item.name);
--- a/source/control/state.h
+++ b/source/control/state.h
@@ -107,7 +107,7 @@
     store_revision read_at;      ///< of the first page of the list being read
     store_revision read_changed; ///< of the latest change on the pages read so far
     bool is_complete = false;    ///< has been read completely, by this host or a peer
-    bool had_news = false;       ///< the last answer contained changes
+    bool had_changes = false;    ///< the last answer contained changes
     bool is_following = false;
     bool call_running = false;
     std::uint64_t call = 0; ///< number of the latest query
