--- a/source/control/membership.cpp
+++ b/source/control/membership.cpp
@@ -105,9 +105,9 @@
     for (const auto& entry : state.membership.members) {
         // Deaths are gossiped for a while: other domains would detect them much later by
         // themselves.
-        const bool is_news =
+        const bool is_applicable =
             entry.second.is_death_confirmed && now - entry.second.died < death_news_time;
-        if (entry.second.alive || is_news) {
+        if (entry.second.alive || is_applicable) {
             (is_near(state, near_domains, entry.first) ? near : far).push_back(&entry);
         }
     }
--- a/source/control/peer_inventory.cpp
+++ b/source/control/peer_inventory.cpp
@@ -83,7 +83,7 @@
 }
 
 /// Whether a copy of a list is newer than the local one and has no gap of changes before it.
-bool is_news(const inventory_list& list, const inventory_copy& copy, std::size_t i)
+bool is_applicable(const inventory_list& list, const inventory_copy& copy, std::size_t i)
 {
     const bool is_whole = copy.since.at(i).value == 0;
     const bool is_newer = copy.at.at(i) > list.at || (!list.is_complete && copy.at.at(i).value > 0);
@@ -292,8 +292,8 @@
     const auto& copy = value_of(answer.copy);
     for (std::size_t i = 0; i < inventory_kinds; ++i) {
         const auto kind = static_cast<inventory_kind>(i);
-        const bool is_wanted =
-            kind != inventory_kind::configuration && is_news(state.inventory.lists.at(i), copy, i);
+        const bool is_wanted = kind != inventory_kind::configuration &&
+                               is_applicable(state.inventory.lists.at(i), copy, i);
         if (is_wanted) {
             apply_list(state, e, kind, copy, out);
         }
