--- a/source/control/membership.cpp
+++ b/source/control/membership.cpp
@@ -21,7 +21,7 @@
 constexpr std::size_t max_messages_per_tick = 3;
 /// Must exceed the size of the largest message, which could otherwise never be sent.
 constexpr double max_gossip_credit = 2.0 * max_datagram_bytes;
-constexpr std::chrono::seconds death_news_time{60};
+constexpr std::chrono::seconds death_gossip_time{60};
 /// Deaths more recent than this take precedence over other heartbeats.
 constexpr std::chrono::seconds urgent_news_time{10};
 constexpr std::size_t hosts_told_of_death_elsewhere = 4;
@@ -106,7 +106,7 @@
         // Deaths are gossiped for a while: other domains would detect them much later by
         // themselves.
         const bool is_applicable =
-            entry.second.is_death_confirmed && now - entry.second.died < death_news_time;
+            entry.second.is_death_confirmed && now - entry.second.died < death_gossip_time;
         if (entry.second.alive || is_applicable) {
             (is_near(state, near_domains, entry.first) ? near : far).push_back(&entry);
         }
