--- a/source/control/membership.cpp
+++ b/source/control/membership.cpp
@@ -23,7 +23,7 @@
 constexpr double max_gossip_credit = 2.0 * max_datagram_bytes;
 constexpr std::chrono::seconds death_gossip_time{60};
 /// Deaths more recent than this take precedence over other heartbeats.
-constexpr std::chrono::seconds urgent_news_time{10};
+constexpr std::chrono::seconds urgent_death_time{10};
 constexpr std::size_t hosts_told_of_death_elsewhere = 4;
 constexpr std::chrono::milliseconds no_request_interval{0};
 /// One message in three goes to another failure domain.
@@ -76,7 +76,7 @@
 
 bool is_urgent_death(const member& m, monotonic_time now)
 {
-    return !m.alive && m.is_death_confirmed && now - m.died < urgent_news_time;
+    return !m.alive && m.is_death_confirmed && now - m.died < urgent_death_time;
 }
 
 void add_some(control_state& state, std::vector<const member_entry*> entries, std::size_t most,
