--- a/source/control/state.h
+++ b/source/control/state.h
@@ -195,7 +195,7 @@
     inventory_state inventory;
     membership_state membership;
     std::map<target_id, target_health> targets;
-    std::set<target_id> unreachable_news; ///< not reported to other hosts yet
+    std::set<target_id> unreported_unreachable; ///< not reported to other hosts yet
     std::map<request_fingerprint, suspect> suspects;
     std::map<request_fingerprint, quarantined_request> quarantined;
     claim_state claims;
--- a/source/control/unreachable_targets.cpp
+++ b/source/control/unreachable_targets.cpp
@@ -30,7 +30,7 @@
 
 void notify_region(control_state& state, effects& out)
 {
-    auto& news = state.unreachable_news;
+    auto& news = state.unreported_unreachable;
     auto message = make_message(state);
     while (!news.empty() && message.unreachable.size() < max_unreachable_per_message) {
         message.unreachable.push_back(std::move(news.extract(news.begin()).value()));
@@ -54,7 +54,7 @@
     // Without an inventory each host has fixed shares of the targets of its domain and detects the
     // failure soon by itself.
     if (state.self.has_inventory && leave_out(state, e, id, state.self.host, out)) {
-        state.unreachable_news.insert(id);
+        state.unreported_unreachable.insert(id);
     }
 }
 
@@ -64,7 +64,7 @@
     for (const auto& id : message.unreachable) {
         if (state.fleet.configuration.targets.contains(id)) {
             leave_out(state, e, id, message.from, out);
-            state.unreachable_news.erase(id);
+            state.unreported_unreachable.erase(id);
         }
     }
 }
@@ -83,7 +83,7 @@
                     {{"target", id.value}}});
         }
     }
-    if (!state.unreachable_news.empty()) {
+    if (!state.unreported_unreachable.empty()) {
         notify_region(state, out);
     }
 }
