--- a/source/control/inventory_sync.cpp
+++ b/source/control/inventory_sync.cpp
@@ -335,7 +335,7 @@
     }
 }
 
-void renew_places(control_state& state)
+void apply_inventory_to_fleet(control_state& state)
 {
     if (!state.self.has_inventory) {
         return;
--- a/source/control/inventory_sync.h
+++ b/source/control/inventory_sync.h
@@ -42,7 +42,7 @@
 
 /// Copies regions, failure domains, hosts and targets into the configuration in force, whose text
 /// does not list them when there is an inventory.
-void renew_places(control_state& state);
+void apply_inventory_to_fleet(control_state& state);
 
 /// Whether the list of targets is known, which a host needs before it serves.
 bool is_inventory_known(const control_state& state);
--- a/source/control/reducer.cpp
+++ b/source/control/reducer.cpp
@@ -122,7 +122,7 @@
     if (state.snapshot_is_stale || (state.hosts_changed && is_tick)) {
         state.snapshot_is_stale = false;
         state.hosts_changed = false;
-        renew_places(state);
+        apply_inventory_to_fleet(state);
         renew_claim_view(state);
         out.emplace_back(publish_effect{build_snapshot(state)});
     }
