--- a/source/control/claim_bridge.cpp
+++ b/source/control/claim_bridge.cpp
@@ -29,7 +29,7 @@
     }
 }
 
-void renew_claim_view(control_state& state)
+void update_claim_view(control_state& state)
 {
     claim_membership world{state.self.host, state.self.life, {}, {}};
     world.alive[state.self.host] = state.self.life;
--- a/source/control/claim_bridge.h
+++ b/source/control/claim_bridge.h
@@ -13,6 +13,6 @@
                         effects& out);
 
 /// Updates the claim reducer's view of the live hosts from the membership state.
-void renew_claim_view(control_state& state);
+void update_claim_view(control_state& state);
 
 } // namespace almondquay
--- a/source/control/reducer.cpp
+++ b/source/control/reducer.cpp
@@ -85,7 +85,7 @@
     control_state state;
     state.self = std::move(self);
     state.random.seed(seed);
-    renew_claim_view(state);
+    update_claim_view(state);
     return state;
 }
 
@@ -123,7 +123,7 @@
         state.snapshot_is_stale = false;
         state.hosts_changed = false;
         apply_inventory_to_fleet(state);
-        renew_claim_view(state);
+        update_claim_view(state);
         out.emplace_back(publish_effect{build_snapshot(state)});
     }
     return out;
