--- a/source/control/inventory_items.cpp
+++ b/source/control/inventory_items.cpp
@@ -45,7 +45,7 @@
 
 /// Entries expire during an outage of the store, so a target that is missing soon after the outage
 /// has the rest of `return_time` to register again. A deletion seen later takes effect at once.
-void miss_target(control_state& state, const event& e, const target_id& id, effects& out)
+void handle_missing_target(control_state& state, const event& e, const target_id& id, effects& out)
 {
     auto& inventory = state.inventory;
     const auto latest = inventory.answers_since + return_time;
@@ -81,7 +81,7 @@
     case inventory_kind::configuration:
         return; // The configuration in force stays in force.
     case inventory_kind::targets:
-        miss_target(state, e, target_id(name), out);
+        handle_missing_target(state, e, target_id(name), out);
         return;
     case inventory_kind::evacuations:
         note_evacuation(state, e, failure_domain_id(name), false, out);
