--- a/source/control/inventory_items.cpp
+++ b/source/control/inventory_items.cpp
@@ -231,7 +231,7 @@
     return !gone.empty();
 }
 
-void drop_missing(control_state& state, const event& e, effects& out)
+void remove_expired_targets(control_state& state, const event& e, effects& out)
 {
     std::vector<target_id> over;
     for (const auto& [id, at] : state.inventory.missing) {
--- a/source/control/inventory_items.h
+++ b/source/control/inventory_items.h
@@ -36,6 +36,6 @@
                  const std::set<std::string>& seen, effects& out);
 
 /// Removes the targets that did not register again in time after an outage of the store.
-void drop_missing(control_state& state, const event& e, effects& out);
+void remove_expired_targets(control_state& state, const event& e, effects& out);
 
 } // namespace almondquay
