--- a/source/control/inventory_items.cpp
+++ b/source/control/inventory_items.cpp
@@ -207,8 +207,8 @@
     }
 }
 
-bool drop_unseen(control_state& state, const event& e, inventory_kind kind,
-                 const std::set<std::string>& seen, effects& out)
+bool remove_unlisted(control_state& state, const event& e, inventory_kind kind,
+                     const std::set<std::string>& seen, effects& out)
 {
     std::vector<std::string> gone;
     const auto collect = [&](const auto& known, const auto& name_in) {
--- a/source/control/inventory_items.h
+++ b/source/control/inventory_items.h
@@ -32,8 +32,8 @@
 
 /// Removes the entries that a complete list with the names `seen` no longer contains. Returns
 /// whether there were any.
-bool drop_unseen(control_state& state, const event& e, inventory_kind kind,
-                 const std::set<std::string>& seen, effects& out);
+bool remove_unlisted(control_state& state, const event& e, inventory_kind kind,
+                     const std::set<std::string>& seen, effects& out);
 
 /// Removes the targets that did not register again in time after an outage of the store.
 void remove_expired_targets(control_state& state, const event& e, effects& out);
--- a/source/control/inventory_sync.cpp
+++ b/source/control/inventory_sync.cpp
@@ -182,7 +182,7 @@
         list.page_after = page.items.back().name;
         return;
     }
-    const bool has_dropped = drop_unseen(state, e, question.kind, list.seen, out);
+    const bool has_dropped = remove_unlisted(state, e, question.kind, list.seen, out);
     list.seen.clear();
     list.page_after.clear();
     list.is_complete = true;
