--- a/source/control/inventory_items.cpp
+++ b/source/control/inventory_items.cpp
@@ -44,17 +44,18 @@
 }
 
 /// Entries expire during an outage of the store, so a target that is missing soon after the outage
-/// has the rest of `return_time` to register again. A deletion seen later takes effect at once.
+/// has the rest of `reregistration_time` to register again. A deletion seen later takes effect at
+/// once.
 void handle_missing_target(control_state& state, const event& e, const target_id& id, effects& out)
 {
     auto& inventory = state.inventory;
-    const auto latest = inventory.answers_since + return_time;
+    const auto latest = inventory.answers_since + reregistration_time;
     const bool was_away = inventory.last_failure != monotonic_time{};
     if (!was_away || (state.fleet.platform_reachable && e.now >= latest)) {
         remove_target(state, e, id, "its entry was deleted", out);
     } else if (inventory.targets.contains(id)) {
-        inventory.missing.try_emplace(id, state.fleet.platform_reachable ? latest
-                                                                         : e.now + return_time);
+        inventory.missing.try_emplace(
+            id, state.fleet.platform_reachable ? latest : e.now + reregistration_time);
     }
 }
 
--- a/source/control/inventory_sync.h
+++ b/source/control/inventory_sync.h
@@ -9,7 +9,7 @@
 /// A few hosts follow the store (see store_followers.h): they read each list completely once and
 /// then poll it for changes. All others get their copy from peers (see peer_inventory.h). While the
 /// store is unreachable the copy is kept unchanged. Targets that are missing from the list after an
-/// outage have `return_time` to register again.
+/// outage have `reregistration_time` to register again.
 namespace almondquay {
 
 /// Long-poll timeouts of queries for changes. A lost long poll is noticed only by a new query, so
@@ -26,7 +26,7 @@
 constexpr std::chrono::milliseconds max_lag_behind_peer{150};
 /// Targets whose entries expired during an outage are expected to register again within this time
 /// after its end.
-constexpr std::chrono::milliseconds return_time{2'000};
+constexpr std::chrono::milliseconds reregistration_time{2'000};
 /// Number of hosts that may use a cold target. The rate that the target can take is divided between
 /// them; with few hosts each share still amounts to whole requests.
 constexpr std::size_t hosts_for_cold_target = 2;
--- a/unit_tests/control/inventory_test.cpp
+++ b/unit_tests/control/inventory_test.cpp
@@ -478,7 +478,8 @@
         auto state = serving_state({item_of(target_of("t")), item_of(target_of("u"))});
         const auto copy = copy_of(peer, {}, monotonic_time(seconds(2)));
         reduce(state, at(milliseconds(2'100), peer_inventory_event{"peer", copy}));
-        tick_until(state, milliseconds(2'250), milliseconds(2'100) + return_time + tick_interval);
+        tick_until(state, milliseconds(2'250),
+                   milliseconds(2'100) + reregistration_time + tick_interval);
         CPPUNIT_ASSERT(!knows(state, "t"));
         CPPUNIT_ASSERT(knows(state, "u"));
     }
@@ -495,7 +496,7 @@
         tick_until(state, seconds(3), seconds(6)); // Queries again.
         CPPUNIT_ASSERT(!question_of(state, inventory_kind::targets).follow);
         answer(state, seconds(6), inventory_kind::targets, {item_of(target_of("t"))}, 21);
-        tick_until(state, seconds(6), seconds(6) + return_time + tick_interval);
+        tick_until(state, seconds(6), seconds(6) + reregistration_time + tick_interval);
         CPPUNIT_ASSERT(knows(state, "t"));
         CPPUNIT_ASSERT(!knows(state, "deleted"));
     }
