--- a/source/control/reducer.cpp
+++ b/source/control/reducer.cpp
@@ -25,7 +25,8 @@
     }
     const auto wished = state.fleet.configuration.settings.lookup_ttl + leave_margin;
     const bool is_bounded = state.self.stop_grace.count() != 0;
-    const auto grace = is_bounded ? std::min(wished, state.self.stop_grace / leave_part) : wished;
+    const auto grace =
+        is_bounded ? std::min(wished, state.self.stop_grace / leave_grace_divisor) : wished;
     state.stage = life_stage::leaving;
     state.leave_deadline = e.now + grace;
     state.snapshot_is_stale = true;
--- a/source/control/reducer.h
+++ b/source/control/reducer.h
@@ -11,7 +11,7 @@
 constexpr std::chrono::milliseconds leave_margin{500};
 /// If the stop has a time limit, at most this fraction (one half) passes before new requests are
 /// refused; the rest is for the running ones.
-constexpr int leave_part = 2;
+constexpr int leave_grace_divisor = 2;
 
 /// Creates the initial state. `seed` makes all random choices reproducible.
 control_state make_control_state(host_identity self, std::uint64_t seed);
