--- a/source/control/inventory_sync.cpp
+++ b/source/control/inventory_sync.cpp
@@ -93,8 +93,8 @@
     out.emplace_back(ask_inventory_effect{std::move(question)});
 }
 
-void note_store(control_state& state, const event& e, bool answers, const std::string& why,
-                effects& out)
+void update_store_reachability(control_state& state, const event& e, bool answers,
+                               const std::string& why, effects& out)
 {
     auto& f = state.fleet;
     const bool changed = answers != f.platform_reachable;
@@ -132,7 +132,7 @@
     }
     ++list.failures;
     list.next_call = e.now + backoff(state, list.failures);
-    note_store(state, e, false, problem.detail, out);
+    update_store_reachability(state, e, false, problem.detail, out);
 }
 
 /// The revision of the latest change on a page. The store's own revision grows with changes of all
@@ -310,7 +310,7 @@
     list.call_running = false;
     if (succeeded(read.page)) {
         list.failures = 0;
-        note_store(state, e, true, "", out);
+        update_store_reachability(state, e, true, "", out);
         apply_page(state, e, read.question, value_of(read.page), out);
     } else {
         handle_failure(state, e, list, error_of(read.page), out);
@@ -331,7 +331,7 @@
     inventory.is_registered = succeeded(registered.outcome);
     if (!inventory.is_registered) {
         inventory.next_registration = e.now + backoff(state, max_doublings);
-        note_store(state, e, false, error_of(registered.outcome).detail, out);
+        update_store_reachability(state, e, false, error_of(registered.outcome).detail, out);
     }
 }
 
