--- a/source/control/inventory_sync.cpp
+++ b/source/control/inventory_sync.cpp
@@ -109,7 +109,7 @@
         return;
     }
     const auto before =
-        std::exchange(state.inventory.away_since, answers ? monotonic_time{} : e.now);
+        std::exchange(state.inventory.unreachable_since, answers ? monotonic_time{} : e.now);
     const auto away = before == monotonic_time{} ? monotonic_time::duration{} : e.now - before;
     const auto away_ms = std::chrono::duration_cast<std::chrono::milliseconds>(away).count();
     decide(state, out, e.wall,
--- a/source/control/state.h
+++ b/source/control/state.h
@@ -138,11 +138,11 @@
     std::map<host_id, host> hosts;
     std::set<failure_domain_id> evacuated;
     std::map<target_id, monotonic_time>
-        missing;                      ///< when targets that are no longer listed are removed
-    std::set<std::string> unreadable; ///< entries already logged as unreadable
-    monotonic_time last_failure{};    ///< of any call to the store
-    monotonic_time away_since{};      ///< zero if the store answers or never answered
-    monotonic_time answers_since{};   ///< when the store became reachable again
+        missing;                        ///< when targets that are no longer listed are removed
+    std::set<std::string> unreadable;   ///< entries already logged as unreadable
+    monotonic_time last_failure{};      ///< of any call to the store
+    monotonic_time unreachable_since{}; ///< zero if the store answers or never answered
+    monotonic_time answers_since{};     ///< when the store became reachable again
     monotonic_time next_peer_question{};
     monotonic_time next_starting_question{};
     bool repeats_announcement = false; ///< once, at the next tick, since datagrams get lost
