--- a/source/control/inventory_items.cpp
+++ b/source/control/inventory_items.cpp
@@ -49,7 +49,7 @@
 void handle_missing_target(control_state& state, const event& e, const target_id& id, effects& out)
 {
     auto& inventory = state.inventory;
-    const auto latest = inventory.answers_since + reregistration_time;
+    const auto latest = inventory.reachable_since + reregistration_time;
     const bool was_away = inventory.last_failure != monotonic_time{};
     if (!was_away || (state.fleet.platform_reachable && e.now >= latest)) {
         remove_target(state, e, id, "its entry was deleted", out);
--- a/source/control/inventory_sync.cpp
+++ b/source/control/inventory_sync.cpp
@@ -100,7 +100,7 @@
     const bool changed = answers != f.platform_reachable;
     f.platform_reachable = answers;
     if (changed && answers) {
-        state.inventory.answers_since = e.now;
+        state.inventory.reachable_since = e.now;
     }
     if (!answers) {
         state.inventory.last_failure = e.now;
--- a/source/control/state.h
+++ b/source/control/state.h
@@ -142,7 +142,7 @@
     std::set<std::string> unreadable;   ///< entries already logged as unreadable
     monotonic_time last_failure{};      ///< of any call to the store
     monotonic_time unreachable_since{}; ///< zero if the store answers or never answered
-    monotonic_time answers_since{};     ///< when the store became reachable again
+    monotonic_time reachable_since{};   ///< when the store became reachable again
     monotonic_time next_peer_question{};
     monotonic_time next_starting_question{};
     bool repeats_announcement = false; ///< once, at the next tick, since datagrams get lost
