--- a/source/control/inventory_changes.cpp
+++ b/source/control/inventory_changes.cpp
@@ -2,8 +2,8 @@
 
 namespace almondquay {
 
-void note_change(inventory_state& inventory, inventory_kind kind, store_revision at,
-                 std::string name)
+void record_change(inventory_state& inventory, inventory_kind kind, store_revision at,
+                   std::string name)
 {
     inventory.changes.push_back({at, kind, std::move(name)});
     while (inventory.changes.size() > max_kept_changes) {
--- a/source/control/inventory_changes.h
+++ b/source/control/inventory_changes.h
@@ -13,8 +13,8 @@
 constexpr std::size_t max_kept_changes = 4'096;
 
 /// Records that the entry `name` changed at revision `at`.
-void note_change(inventory_state& inventory, inventory_kind kind, store_revision at,
-                 std::string name);
+void record_change(inventory_state& inventory, inventory_kind kind, store_revision at,
+                   std::string name);
 
 /// Records that a list was replaced as a whole at revision `at`: the single changes up to it are
 /// not known.
--- a/source/control/inventory_sync.cpp
+++ b/source/control/inventory_sync.cpp
@@ -213,7 +213,7 @@
     list.had_changes = has_changes;
     list.next_call = has_changes ? e.now + pause_after(question.kind) : e.now;
     for (const auto& item : page.items) {
-        note_change(state.inventory, question.kind, list.changed, item.name);
+        record_change(state.inventory, question.kind, list.changed, item.name);
     }
     if (has_changes) {
         state.inventory.news = question.kind == inventory_kind::configuration
--- a/source/control/peer_inventory.cpp
+++ b/source/control/peer_inventory.cpp
@@ -163,7 +163,7 @@
             }
         }
         for (const auto& name : names) {
-            note_change(state.inventory, kind, list.at, name);
+            record_change(state.inventory, kind, list.at, name);
         }
     }
     list.call_running = false;
