--- a/source/control/inventory_changes.cpp
+++ b/source/control/inventory_changes.cpp
@@ -14,7 +14,7 @@
     }
 }
 
-void forget_changes(inventory_state& inventory, inventory_kind kind, store_revision at)
+void record_list_replacement(inventory_state& inventory, inventory_kind kind, store_revision at)
 {
     auto& since = inventory.changes_since.at(static_cast<std::size_t>(kind));
     since = std::max(since, at);
--- a/source/control/inventory_changes.h
+++ b/source/control/inventory_changes.h
@@ -18,7 +18,7 @@
 
 /// Records that a list was replaced as a whole at revision `at`: the single changes up to it are
 /// not known.
-void forget_changes(inventory_state& inventory, inventory_kind kind, store_revision at);
+void record_list_replacement(inventory_state& inventory, inventory_kind kind, store_revision at);
 
 /// Whether the log holds all changes of the list after `since`.
 bool knows_changes(const inventory_state& inventory, inventory_kind kind, store_revision since);
--- a/source/control/inventory_sync.cpp
+++ b/source/control/inventory_sync.cpp
@@ -194,7 +194,7 @@
     const auto changed = has_dropped ? list.at : std::min(list.read_changed, list.at);
     if (changed > list.changed) {
         list.changed = changed;
-        forget_changes(state.inventory, question.kind, list.changed);
+        record_list_replacement(state.inventory, question.kind, list.changed);
     }
     list.changed = std::max(list.changed, known_empty);
     announce(state, out); // Peers may lack the same changes without noticing.
--- a/source/control/peer_inventory.cpp
+++ b/source/control/peer_inventory.cpp
@@ -155,7 +155,7 @@
         list.is_following = false; // The list is read from the store again once possible.
         list.page_after.clear();
         list.seen.clear();
-        forget_changes(state.inventory, kind, list.at);
+        record_list_replacement(state.inventory, kind, list.at);
     } else {
         for (const auto& entry : copy.gone) {
             if (entry.kind == kind) {
