--- a/source/control/inventory_changes.cpp
+++ b/source/control/inventory_changes.cpp
@@ -20,7 +20,7 @@
     since = std::max(since, at);
 }
 
-bool knows_changes(const inventory_state& inventory, inventory_kind kind, store_revision since)
+bool has_all_changes(const inventory_state& inventory, inventory_kind kind, store_revision since)
 {
     return since >= inventory.changes_since.at(static_cast<std::size_t>(kind));
 }
--- a/source/control/inventory_changes.h
+++ b/source/control/inventory_changes.h
@@ -21,7 +21,7 @@
 void record_list_replacement(inventory_state& inventory, inventory_kind kind, store_revision at);
 
 /// Whether the log holds all changes of the list after `since`.
-bool knows_changes(const inventory_state& inventory, inventory_kind kind, store_revision since);
+bool has_all_changes(const inventory_state& inventory, inventory_kind kind, store_revision since);
 
 /// The names that changed after `since`.
 std::set<std::string> changed_names(const inventory_state& inventory, inventory_kind kind,
--- a/source/control/peer_inventory.cpp
+++ b/source/control/peer_inventory.cpp
@@ -272,7 +272,8 @@
             copy.at.at(i) = {};
             continue;
         }
-        const bool as_changes = have.at(i).value != 0 && knows_changes(inventory, kind, have.at(i));
+        const bool as_changes =
+            have.at(i).value != 0 && has_all_changes(inventory, kind, have.at(i));
         copy.since.at(i) = as_changes ? have.at(i) : store_revision{};
         const auto names =
             as_changes ? changed_names(inventory, kind, have.at(i)) : all_names(inventory, kind);
@@ -306,7 +307,7 @@
     inventory_revisions have;
     have.fill(all_known);
     have.at(static_cast<std::size_t>(kind)) = since;
-    const bool is_known = since.value != 0 && knows_changes(state.inventory, kind, since);
+    const bool is_known = since.value != 0 && has_all_changes(state.inventory, kind, since);
     auto text = is_known ? encode(copy_of(state, have, state.now)) : std::string();
     return text.size() <= max_recent_changes_bytes ? text : std::string();
 }
