--- a/source/control/fleet_adoption.cpp
+++ b/source/control/fleet_adoption.cpp
@@ -38,8 +38,9 @@
 
 /// The platform accepts two texts with the same generation only if it was restored to an older
 /// state in between. Neither text replaces the other; the next generation resolves the conflict.
-void note_disagreement(control_state& state, const event& e, const fleet_envelope& envelope,
-                       const std::string& source, effects& out)
+void report_generation_conflict(control_state& state, const event& e,
+                                const fleet_envelope& envelope, const std::string& source,
+                                effects& out)
 {
     const bool disagrees = envelope.number == state.fleet.envelope->number &&
                            fingerprint_of(envelope) != state.fleet.fingerprint;
@@ -126,7 +127,7 @@
            const std::string& source, effects& out)
 {
     if (is_known_no_newer(state, envelope)) {
-        note_disagreement(state, e, envelope, source, out);
+        report_generation_conflict(state, e, envelope, source, out);
         return;
     }
     const auto parse = state.self.parse != nullptr ? state.self.parse : parse_fleet;
