--- a/source/control/inventory_items.cpp
+++ b/source/control/inventory_items.cpp
@@ -11,8 +11,9 @@
 constexpr std::size_t max_unreadable_names = 1'000;
 
 /// Records an unreadable entry once, until it can be read again.
-void note_unreadable(control_state& state, const event& e, inventory_kind kind,
-                     const inventory_item& item, const unreadable_entry& entry, effects& out)
+void report_unreadable_entry(control_state& state, const event& e, inventory_kind kind,
+                             const inventory_item& item, const unreadable_entry& entry,
+                             effects& out)
 {
     auto& known = state.inventory.unreadable;
     const auto name = std::string(name_of(kind)) + "/" + item.name;
@@ -173,7 +174,7 @@
                 const inventory_item& item, effects& out)
 {
     if (const auto* bad = std::get_if<unreadable_entry>(&item.entry)) {
-        note_unreadable(state, e, kind, item, *bad, out);
+        report_unreadable_entry(state, e, kind, item, *bad, out);
         handle_absent_entry(state, e, kind, item.name, out);
         return;
     }
