--- a/source/control/target_health.cpp
+++ b/source/control/target_health.cpp
@@ -89,7 +89,7 @@
     ++health.failures;
     health.refuses = report.evidence != target_evidence::answer_lost;
     if (report.evidence == target_evidence::connection_refused) {
-        note_refused_connection(state, e, report.target, out);
+        handle_refused_connection(state, e, report.target, out);
     }
     if (health.usable && health.failures >= failures_to_eject) {
         eject(state, e, report, health, out);
--- a/source/control/unreachable_targets.cpp
+++ b/source/control/unreachable_targets.cpp
@@ -48,8 +48,8 @@
 
 } // namespace
 
-void note_refused_connection(control_state& state, const event& e, const target_id& id,
-                             effects& out)
+void handle_refused_connection(control_state& state, const event& e, const target_id& id,
+                               effects& out)
 {
     // Without an inventory each host has fixed shares of the targets of its domain and detects the
     // failure soon by itself.
--- a/source/control/unreachable_targets.h
+++ b/source/control/unreachable_targets.h
@@ -18,8 +18,8 @@
 constexpr std::size_t max_unreachable_per_message = 16;
 
 /// Excludes a target that refused a connection of this host and schedules the report to others.
-void note_refused_connection(control_state& state, const event& e, const target_id& id,
-                             effects& out);
+void handle_refused_connection(control_state& state, const event& e, const target_id& id,
+                               effects& out);
 
 /// Excludes the targets that another host of the region reported.
 void handle_unreachable_report(control_state& state, const event& e, const gossip_message& message,
