--- a/source/control/inventory_items.cpp
+++ b/source/control/inventory_items.cpp
@@ -86,7 +86,7 @@
         handle_missing_target(state, e, target_id(name), out);
         return;
     case inventory_kind::evacuations:
-        note_evacuation(state, e, failure_domain_id(name), false, out);
+        update_evacuation(state, e, failure_domain_id(name), false, out);
         return;
     case inventory_kind::hosts:
         forget_host(state, host_id(name));
@@ -135,8 +135,8 @@
              {"cold_ms", std::to_string(entry.cold_left.count())}}});
 }
 
-void note_evacuation(control_state& state, const event& e, const failure_domain_id& domain,
-                     bool begins, effects& out)
+void update_evacuation(control_state& state, const event& e, const failure_domain_id& domain,
+                       bool begins, effects& out)
 {
     auto& evacuated = state.inventory.evacuated;
     const bool changed = begins ? evacuated.insert(domain).second : evacuated.erase(domain) != 0;
@@ -186,7 +186,7 @@
     } else if (const auto* t = std::get_if<registered_target>(&item.entry)) {
         apply_target(state, e, *t, out);
     } else if (const auto* evacuated = std::get_if<evacuation>(&item.entry)) {
-        note_evacuation(state, e, evacuated->domain, true, out);
+        update_evacuation(state, e, evacuated->domain, true, out);
     } else if (const auto* h = std::get_if<host>(&item.entry)) {
         apply_host(state, *h);
     } else {
--- a/source/control/inventory_items.h
+++ b/source/control/inventory_items.h
@@ -23,8 +23,8 @@
 
 /// Begins or ends the evacuation of a failure domain. When it ends, the domain's targets count as
 /// cold for the cold time of their service unless they register otherwise.
-void note_evacuation(control_state& state, const event& e, const failure_domain_id& domain,
-                     bool begins, effects& out);
+void update_evacuation(control_state& state, const event& e, const failure_domain_id& domain,
+                       bool begins, effects& out);
 
 /// Removes an entry that a peer reports as deleted; a target is kept for another `kept_for`.
 void apply_removal(control_state& state, const event& e, inventory_kind kind,
--- a/source/control/peer_inventory.cpp
+++ b/source/control/peer_inventory.cpp
@@ -103,7 +103,7 @@
         }
     } else {
         for (const auto& domain : copy.evacuated) {
-            note_evacuation(state, e, domain, true, out);
+            update_evacuation(state, e, domain, true, out);
         }
     }
     for (const auto& entry : copy.gone) {
