--- a/source/control/membership.cpp
+++ b/source/control/membership.cpp
@@ -373,7 +373,7 @@
     }
     handle_unreachable_report(state, e, message, out);
     apply_announced_changes(state, e, message, out);
-    note_peer_inventory(state, e, message, *peer, out);
+    compare_peer_revisions(state, e, message, *peer, out);
 }
 
 void announce(control_state& state, effects& out)
--- a/source/control/peer_inventory.cpp
+++ b/source/control/peer_inventory.cpp
@@ -324,8 +324,8 @@
         out);
 }
 
-void note_peer_inventory(control_state& state, const event& e, const gossip_message& message,
-                         const endpoint& peer, effects& out)
+void compare_peer_revisions(control_state& state, const event& e, const gossip_message& message,
+                            const endpoint& peer, effects& out)
 {
     if (!state.self.has_inventory) {
         return;
--- a/source/control/peer_inventory.h
+++ b/source/control/peer_inventory.h
@@ -38,8 +38,8 @@
 /// Compares a peer's revisions with those of this host. If the local list is as new, the peer's
 /// confirmation applies to it too; if it is behind, it is queried again from the store by a
 /// follower and requested from the peer by any other host.
-void note_peer_inventory(control_state& state, const event& e, const gossip_message& message,
-                         const endpoint& peer, effects& out);
+void compare_peer_revisions(control_state& state, const event& e, const gossip_message& message,
+                            const endpoint& peer, effects& out);
 
 /// Requests the list of hosts from the seeds and then what is still missing from random hosts,
 /// mostly of the same region.
