--- a/source/control/membership.cpp
+++ b/source/control/membership.cpp
@@ -177,7 +177,7 @@
 }
 
 /// Claims depend on the set of live hosts, so without shared targets a change takes effect at once.
-void note_hosts_changed(control_state& state)
+void mark_hosts_changed(control_state& state)
 {
     (state.self.has_inventory ? state.hosts_changed : state.snapshot_is_stale) = true;
 }
@@ -186,7 +186,7 @@
 {
     m.alive = false;
     m.died = e.now;
-    note_hosts_changed(state);
+    mark_hosts_changed(state);
     const auto silence =
         std::chrono::duration_cast<std::chrono::milliseconds>(e.now - m.last_advance);
     state.membership.last_change =
@@ -203,7 +203,7 @@
 void mark_alive(control_state& state, const event& e, const member_heartbeat& beat, bool is_new,
                 effects& out)
 {
-    note_hosts_changed(state);
+    mark_hosts_changed(state);
     const std::string what = is_new ? " has joined" : " has returned";
     state.membership.last_change =
         decide(state, out, e.wall,
