--- a/source/control/unreachable_targets.cpp
+++ b/source/control/unreachable_targets.cpp
@@ -8,8 +8,8 @@
 namespace {
 
 /// Excludes a target for `unreachable_time`. Returns whether it was not excluded before.
-bool leave_out(control_state& state, const event& e, const target_id& id, const host_id& told_by,
-               effects& out)
+bool exclude_target(control_state& state, const event& e, const target_id& id,
+                    const host_id& told_by, effects& out)
 {
     auto& health = state.targets[id];
     const bool is_new = health.unreachable_until == monotonic_time{};
@@ -53,7 +53,7 @@
 {
     // Without an inventory each host has fixed shares of the targets of its domain and detects the
     // failure soon by itself.
-    if (state.self.has_inventory && leave_out(state, e, id, state.self.host, out)) {
+    if (state.self.has_inventory && exclude_target(state, e, id, state.self.host, out)) {
         state.unreported_unreachable.insert(id);
     }
 }
@@ -63,7 +63,7 @@
 {
     for (const auto& id : message.unreachable) {
         if (state.fleet.configuration.targets.contains(id)) {
-            leave_out(state, e, id, message.from, out);
+            exclude_target(state, e, id, message.from, out);
             state.unreported_unreachable.erase(id);
         }
     }
