--- a/source/control/probing.cpp
+++ b/source/control/probing.cpp
@@ -49,7 +49,7 @@
     return known;
 }
 
-void ask_for_sign(control_state& state, const host& neighbour, effects& out)
+void send_ping(control_state& state, const host& neighbour, effects& out)
 {
     auto message = make_message(state);
     message.wants_reply = true;
@@ -90,7 +90,7 @@
     const auto found = state.fleet.configuration.hosts.find(suspected.id);
     if (found != state.fleet.configuration.hosts.end()) {
         state.membership.asked_about[suspected.id] = {asker, e.now + refutation_time};
-        ask_for_sign(state, found->second, out);
+        send_ping(state, found->second, out);
     }
 }
 
@@ -124,7 +124,7 @@
         }
         if (now - p.last_question >= host_probe_interval) {
             p.last_question = now;
-            ask_for_sign(state, *h, out);
+            send_ping(state, *h, out);
         }
         if (!state.membership.members.contains(h->id)) {
             continue; // No heartbeat received yet: it may not have started.
