--- a/source/control/probing.cpp
+++ b/source/control/probing.cpp
@@ -58,8 +58,8 @@
 }
 
 /// Asks a few other hosts to ping a silent neighbour (SWIM's indirect probe).
-void ask_to_refute(control_state& state, const host& silent, const std::vector<const host*>& ring,
-                   effects& out)
+void request_indirect_pings(control_state& state, const host& silent,
+                            const std::vector<const host*>& ring, effects& out)
 {
     std::vector<const host*> others;
     std::ranges::copy_if(ring, std::back_inserter(others),
@@ -136,10 +136,10 @@
         } else if (!is_suspected && silence >= silence_before_suspicion) {
             p.suspected_at = now;
             p.last_refutation = now;
-            ask_to_refute(state, *h, ring, out);
+            request_indirect_pings(state, *h, ring, out);
         } else if (is_suspected && now - p.last_refutation >= refutation_interval) {
             p.last_refutation = now;
-            ask_to_refute(state, *h, ring, out);
+            request_indirect_pings(state, *h, ring, out);
         }
         if (silence < next_neighbour_delay) {
             break;
