--- a/source/control/probing.cpp
+++ b/source/control/probing.cpp
@@ -80,8 +80,9 @@
     std::erase_if(probed, [&](const auto& entry) { return !asked.contains(entry.first); });
 }
 
-void answer_suspicion(control_state& state, const event& e, const member_heartbeat& suspected,
-                      const endpoint& asker, effects& out)
+void handle_indirect_ping_request(control_state& state, const event& e,
+                                  const member_heartbeat& suspected, const endpoint& asker,
+                                  effects& out)
 {
     if (suspected.id == state.self.host) {
         out.emplace_back(send_gossip_effect{asker, make_message(state)});
@@ -157,7 +158,7 @@
         out.emplace_back(send_gossip_effect{peer, make_message(state)});
     }
     for (const auto& suspected : message.suspects) {
-        answer_suspicion(state, e, suspected, peer, out);
+        handle_indirect_ping_request(state, e, suspected, peer, out);
     }
     if (const auto probed = membership.probed.find(message.from);
         probed != membership.probed.end()) {
