--- a/source/control/state.h
+++ b/source/control/state.h
@@ -61,7 +61,7 @@
 };
 
 /// A suspected host that this host pings on behalf of a peer, which is told of an answer.
-struct asked_about_host {
+struct indirect_ping {
     endpoint asker;
     monotonic_time until{};
 };
@@ -74,7 +74,7 @@
     double gossip_credit = 0;       ///< token bucket level in bytes
     std::uint64_t gossip_turns = 0; ///< messages sent; selects near or far receivers
     std::map<host_id, probed_host> probed;
-    std::map<host_id, asked_about_host> asked_about;
+    std::map<host_id, indirect_ping> asked_about;
     std::string last_change; ///< id of the decision that last changed the live hosts
 };
 
