--- a/source/control/probing.cpp
+++ b/source/control/probing.cpp
@@ -90,7 +90,7 @@
     }
     const auto found = state.fleet.configuration.hosts.find(suspected.id);
     if (found != state.fleet.configuration.hosts.end()) {
-        state.membership.asked_about[suspected.id] = {asker, e.now + refutation_time};
+        state.membership.indirect_pings[suspected.id] = {asker, e.now + refutation_time};
         send_ping(state, found->second, out);
     }
 }
@@ -107,7 +107,7 @@
     auto& membership = state.membership;
     std::vector<host_id> dead;
     std::set<host_id> asked;
-    std::erase_if(membership.asked_about,
+    std::erase_if(membership.indirect_pings,
                   [&](const auto& entry) { return now >= entry.second.until; });
     if (!is_probed_domain(state)) {
         membership.probed.clear();
@@ -172,13 +172,13 @@
             probed->second.suspected_at = {};
         }
     }
-    if (const auto about = membership.asked_about.find(message.from);
-        about != membership.asked_about.end() && !message.heartbeats.empty()) {
+    if (const auto about = membership.indirect_pings.find(message.from);
+        about != membership.indirect_pings.end() && !message.heartbeats.empty()) {
         auto told = make_message(state);
         told.heartbeats.push_back(message.heartbeats.front());
         told.heartbeats.back().direct = true;
         out.emplace_back(send_gossip_effect{about->second.asker, std::move(told)});
-        membership.asked_about.erase(about);
+        membership.indirect_pings.erase(about);
     }
 }
 
--- a/source/control/state.h
+++ b/source/control/state.h
@@ -74,7 +74,7 @@
     double gossip_credit = 0;       ///< token bucket level in bytes
     std::uint64_t gossip_turns = 0; ///< messages sent; selects near or far receivers
     std::map<host_id, probed_host> probed;
-    std::map<host_id, indirect_ping> asked_about;
+    std::map<host_id, indirect_ping> indirect_pings;
     std::string last_change; ///< id of the decision that last changed the live hosts
 };
 
