--- a/source/control/probing.cpp
+++ b/source/control/probing.cpp
@@ -90,7 +90,7 @@
     }
     const auto found = state.fleet.configuration.hosts.find(suspected.id);
     if (found != state.fleet.configuration.hosts.end()) {
-        state.membership.indirect_pings[suspected.id] = {asker, e.now + refutation_time};
+        state.membership.indirect_pings[suspected.id] = {asker, e.now + suspicion_timeout};
         send_ping(state, found->second, out);
     }
 }
@@ -132,7 +132,7 @@
         }
         const auto silence = now - p.silent_since;
         const bool is_suspected = p.suspected_at != monotonic_time{};
-        if (is_suspected && now - p.suspected_at >= refutation_time) {
+        if (is_suspected && now - p.suspected_at >= suspicion_timeout) {
             dead.push_back(h->id);
         } else if (!is_suspected && silence >= silence_before_suspicion) {
             p.suspected_at = now;
--- a/source/control/probing.h
+++ b/source/control/probing.h
@@ -22,7 +22,7 @@
 /// A neighbour that has not answered pings for this long is suspected.
 constexpr std::chrono::milliseconds silence_before_suspicion{1'000};
 /// A suspicion that is not refuted within this time ends in the host's death.
-constexpr std::chrono::milliseconds refutation_time{1'200};
+constexpr std::chrono::milliseconds suspicion_timeout{1'200};
 constexpr std::size_t max_neighbours_asked = 4;
 /// Number of hosts per round of indirect pings. Rounds are repeated while a suspicion stands, since
 /// an indirect ping takes four messages, each of which may get lost.
