--- a/source/control/probing.cpp
+++ b/source/control/probing.cpp
@@ -138,7 +138,7 @@
             p.suspected_at = now;
             p.last_refutation = now;
             request_indirect_pings(state, *h, ring, out);
-        } else if (is_suspected && now - p.last_refutation >= refutation_interval) {
+        } else if (is_suspected && now - p.last_refutation >= indirect_ping_interval) {
             p.last_refutation = now;
             request_indirect_pings(state, *h, ring, out);
         }
--- a/source/control/probing.h
+++ b/source/control/probing.h
@@ -28,7 +28,7 @@
 /// an indirect ping takes four messages, each of which may get lost.
 constexpr std::size_t hosts_asked_to_refute = 3;
 /// Interval between two rounds of indirect pings.
-constexpr std::chrono::milliseconds refutation_interval{250};
+constexpr std::chrono::milliseconds indirect_ping_interval{250};
 
 /// Whether this host's failure domain is large enough for probing.
 bool is_probed_domain(const control_state& state);
