--- a/source/control/probing.cpp
+++ b/source/control/probing.cpp
@@ -65,7 +65,7 @@
     std::ranges::copy_if(ring, std::back_inserter(others),
                          [&](const host* h) { return h->id != silent.id; });
     std::ranges::shuffle(others, state.random);
-    others.resize(std::min(others.size(), hosts_asked_to_refute));
+    others.resize(std::min(others.size(), hosts_per_indirect_ping));
     auto message = make_message(state);
     message.reply_address = state.self.registration.peers;
     message.suspects.push_back(known_beat(state, silent.id));
--- a/source/control/probing.h
+++ b/source/control/probing.h
@@ -26,7 +26,7 @@
 constexpr std::size_t max_neighbours_asked = 4;
 /// Number of hosts per round of indirect pings. Rounds are repeated while a suspicion stands, since
 /// an indirect ping takes four messages, each of which may get lost.
-constexpr std::size_t hosts_asked_to_refute = 3;
+constexpr std::size_t hosts_per_indirect_ping = 3;
 /// Interval between two rounds of indirect pings.
 constexpr std::chrono::milliseconds indirect_ping_interval{250};
 
