--- a/source/control/probing.cpp
+++ b/source/control/probing.cpp
@@ -134,7 +134,7 @@
         const bool is_suspected = p.suspected_at != monotonic_time{};
         if (is_suspected && now - p.suspected_at >= suspicion_timeout) {
             dead.push_back(h->id);
-        } else if (!is_suspected && silence >= silence_before_suspicion) {
+        } else if (!is_suspected && silence >= suspicion_threshold) {
             p.suspected_at = now;
             p.last_refutation = now;
             request_indirect_pings(state, *h, ring, out);
--- a/source/control/probing.h
+++ b/source/control/probing.h
@@ -20,7 +20,7 @@
 /// When a neighbour has been silent for this long, the one after it is pinged as well.
 constexpr std::chrono::milliseconds next_neighbour_delay{700};
 /// A neighbour that has not answered pings for this long is suspected.
-constexpr std::chrono::milliseconds silence_before_suspicion{1'000};
+constexpr std::chrono::milliseconds suspicion_threshold{1'000};
 /// A suspicion that is not refuted within this time ends in the host's death.
 constexpr std::chrono::milliseconds suspicion_timeout{1'200};
 constexpr std::size_t max_neighbours_asked = 4;
