--- a/source/control/probing.cpp
+++ b/source/control/probing.cpp
@@ -115,7 +115,7 @@
     }
     const auto ring = neighbours(state);
     for (const auto* h : ring) {
-        if (asked.size() >= max_neighbours_asked) {
+        if (asked.size() >= max_neighbours_pinged) {
             break;
         }
         asked.insert(h->id);
--- a/source/control/probing.h
+++ b/source/control/probing.h
@@ -23,7 +23,7 @@
 constexpr std::chrono::milliseconds suspicion_threshold{1'000};
 /// A suspicion that is not refuted within this time ends in the host's death.
 constexpr std::chrono::milliseconds suspicion_timeout{1'200};
-constexpr std::size_t max_neighbours_asked = 4;
+constexpr std::size_t max_neighbours_pinged = 4;
 /// Number of hosts per round of indirect pings. Rounds are repeated while a suspicion stands, since
 /// an indirect ping takes four messages, each of which may get lost.
 constexpr std::size_t hosts_per_indirect_ping = 3;
