--- a/source/control/probing.cpp
+++ b/source/control/probing.cpp
@@ -123,8 +123,8 @@
         if (p.silent_since == monotonic_time{}) {
             p.silent_since = now;
         }
-        if (now - p.last_question >= host_probe_interval) {
-            p.last_question = now;
+        if (now - p.last_ping >= host_probe_interval) {
+            p.last_ping = now;
             send_ping(state, *h, out);
         }
         if (!state.membership.members.contains(h->id)) {
--- a/source/control/state.h
+++ b/source/control/state.h
@@ -55,7 +55,7 @@
 /// A ring neighbour that this host pings.
 struct probed_host {
     monotonic_time silent_since{};
-    monotonic_time last_question{};
+    monotonic_time last_ping{};
     monotonic_time suspected_at{};    ///< zero if it is not suspected
     monotonic_time last_refutation{}; ///< time of the last round of indirect pings
 };
