--- a/source/control/probing.cpp
+++ b/source/control/probing.cpp
@@ -136,10 +136,10 @@
             dead.push_back(h->id);
         } else if (!is_suspected && silence >= suspicion_threshold) {
             p.suspected_at = now;
-            p.last_refutation = now;
+            p.last_indirect_ping = now;
             request_indirect_pings(state, *h, ring, out);
-        } else if (is_suspected && now - p.last_refutation >= indirect_ping_interval) {
-            p.last_refutation = now;
+        } else if (is_suspected && now - p.last_indirect_ping >= indirect_ping_interval) {
+            p.last_indirect_ping = now;
             request_indirect_pings(state, *h, ring, out);
         }
         if (silence < next_neighbour_delay) {
--- a/source/control/state.h
+++ b/source/control/state.h
@@ -56,8 +56,8 @@
 struct probed_host {
     monotonic_time silent_since{};
     monotonic_time last_ping{};
-    monotonic_time suspected_at{};    ///< zero if it is not suspected
-    monotonic_time last_refutation{}; ///< time of the last round of indirect pings
+    monotonic_time suspected_at{};       ///< zero if it is not suspected
+    monotonic_time last_indirect_ping{}; ///< time of the last round of indirect pings
 };
 
 /// A suspected host that this host pings on behalf of a peer, which is told of an answer.
