--- a/source/control/membership.cpp
+++ b/source/control/membership.cpp
@@ -27,7 +27,7 @@
 constexpr std::size_t hosts_told_of_death_elsewhere = 4;
 constexpr std::chrono::milliseconds no_request_interval{0};
 /// One message in three goes to another failure domain.
-constexpr std::uint64_t far_turn = 3;
+constexpr std::uint64_t cross_domain_interval = 3;
 /// Size of a message without heartbeats: signature, header, time, generation, fingerprint and the
 /// IP and UDP headers.
 constexpr std::size_t bytes_per_message = 150;
@@ -168,7 +168,7 @@
     const auto earned = std::min(passed.count(), 1.0) * gossip_bytes_per_second;
     membership.gossip_credit = std::min(membership.gossip_credit + earned, max_gossip_credit);
     for (std::size_t sent = 0; sent < max_messages_per_tick; ++sent) {
-        const bool near = membership.gossip_turns % far_turn != 0;
+        const bool near = membership.gossip_turns % cross_domain_interval != 0;
         if (!send_one(state, near_domains, near, out)) {
             return;
         }
