--- a/source/control/peer_inventory.cpp
+++ b/source/control/peer_inventory.cpp
@@ -204,13 +204,13 @@
 /// A random host, mostly of the same region, so that the queries of many starting hosts are spread.
 const endpoint* random_peer(control_state& state)
 {
-    constexpr std::uint64_t far_turn = 4;
+    constexpr std::uint64_t cross_region_interval = 4;
     const auto region = [&](const failure_domain_id& domain) {
         const auto found = state.self.domains.find(domain);
         return found == state.self.domains.end() ? region_id{} : found->second;
     };
     const auto home = region(state.self.domain);
-    const bool is_far_turn = state.random() % far_turn == 0;
+    const bool is_far_turn = state.random() % cross_region_interval == 0;
     std::vector<const endpoint*> peers;
     for (const auto& [id, h] : state.inventory.hosts) {
         if (id != state.self.host && (is_far_turn || region(h.domain) == home)) {
