--- a/source/control/peer_inventory.cpp
+++ b/source/control/peer_inventory.cpp
@@ -210,10 +210,10 @@
         return found == state.self.domains.end() ? region_id{} : found->second;
     };
     const auto home = region(state.self.domain);
-    const bool is_far_turn = state.random() % cross_region_interval == 0;
+    const bool is_cross_region_turn = state.random() % cross_region_interval == 0;
     std::vector<const endpoint*> peers;
     for (const auto& [id, h] : state.inventory.hosts) {
-        if (id != state.self.host && (is_far_turn || region(h.domain) == home)) {
+        if (id != state.self.host && (is_cross_region_turn || region(h.domain) == home)) {
             peers.push_back(&h.peers);
         }
     }
