--- a/source/control/inventory_sync.cpp
+++ b/source/control/inventory_sync.cpp
@@ -290,7 +290,7 @@
                              e.now - list.behind_since >= max_lag_behind_peer;
         const auto kind = static_cast<inventory_kind>(i);
         const bool is_due = (!list.call_running || is_late) && e.now >= list.next_call;
-        if (is_due && may_ask_store(state, kind, e.now)) {
+        if (is_due && may_query_store(state, kind, e.now)) {
             ask(state, kind, out);
         }
     }
@@ -317,7 +317,7 @@
     }
     state.fleet.platform_answered = true;
     const bool is_due = !list.call_running && e.now >= list.next_call;
-    if (is_due && may_ask_store(state, read.question.kind, e.now)) {
+    if (is_due && may_query_store(state, read.question.kind, e.now)) {
         ask(state, read.question.kind, out);
     }
     start_serving_if_ready(state, e, out);
--- a/source/control/store_followers.cpp
+++ b/source/control/store_followers.cpp
@@ -127,7 +127,7 @@
     return followers;
 }
 
-bool may_ask_store(const control_state& state, inventory_kind kind, monotonic_time now)
+bool may_query_store(const control_state& state, inventory_kind kind, monotonic_time now)
 {
     if (!list_of(state.inventory, inventory_kind::hosts).is_complete) {
         const bool is_alone = now - state.started >= store_query_delay;
--- a/source/control/store_followers.h
+++ b/source/control/store_followers.h
@@ -38,7 +38,7 @@
 std::vector<const host*> all_followers(const control_state& state, monotonic_time now);
 
 /// Whether this host may query the store for a list now.
-bool may_ask_store(const control_state& state, inventory_kind kind, monotonic_time now);
+bool may_query_store(const control_state& state, inventory_kind kind, monotonic_time now);
 
 /// The number of followers in all regions and the position of this host among them.
 struct follower_place {
