--- a/source/almondquayd/interpreter.cpp
+++ b/source/almondquayd/interpreter.cpp
@@ -53,7 +53,7 @@
              });
 }
 
-void run(interpreter& i, const ask_inventory_effect& e)
+void run(interpreter& i, const query_inventory_effect& e)
 {
     log::write(log::level::debug, "ask_store",
                {{"list", std::string(name_of(e.question.kind))},
--- a/source/control/effect.h
+++ b/source/control/effect.h
@@ -40,7 +40,7 @@
 };
 
 /// Queries the store's inventory. Completes with an inventory_read_event.
-struct ask_inventory_effect {
+struct query_inventory_effect {
     inventory_query question;
 };
 
@@ -99,7 +99,7 @@
     std::variant<publish_effect, watch_fleet_effect, write_fleet_effect, fetch_fleet_effect,
                  send_gossip_effect, probe_effect, record_effect, stop_traffic_effect, exit_effect,
                  read_claims_effect, write_claims_effect, send_claim_message_effect,
-                 claim_verdict_effect, share_evidence_effect, ask_inventory_effect,
+                 claim_verdict_effect, share_evidence_effect, query_inventory_effect,
                  register_host_effect, remove_host_effect, fetch_inventory_effect>;
 using effects = std::vector<effect>;
 
--- a/source/control/inventory_sync.cpp
+++ b/source/control/inventory_sync.cpp
@@ -90,7 +90,7 @@
     if (list.page_after.empty()) {
         list.asked_at = state.now;
     }
-    out.emplace_back(ask_inventory_effect{std::move(question)});
+    out.emplace_back(query_inventory_effect{std::move(question)});
 }
 
 void update_store_reachability(control_state& state, const event& e, bool answers,
--- a/unit_tests/control/inventory_test.cpp
+++ b/unit_tests/control/inventory_test.cpp
@@ -228,7 +228,7 @@
     {
         auto state = make_state();
         const auto asked = reduce(state, at(milliseconds(1), tick_event{}));
-        CPPUNIT_ASSERT_EQUAL(inventory_kinds, count<ask_inventory_effect>(asked));
+        CPPUNIT_ASSERT_EQUAL(inventory_kinds, count<query_inventory_effect>(asked));
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, count<register_host_effect>(asked));
         answer(state, milliseconds(2), inventory_kind::configuration, {configuration_of(1)}, 5);
         CPPUNIT_ASSERT(state.stage == life_stage::starting);
@@ -366,13 +366,13 @@
         }
         const auto asked = answer(state, milliseconds(200), inventory_kind::evacuations, {}, 10);
         for (const auto& e : asked) {
-            if (const auto* question = std::get_if<ask_inventory_effect>(&e)) {
+            if (const auto* question = std::get_if<query_inventory_effect>(&e)) {
                 CPPUNIT_ASSERT(question->question.wait >= seconds(1));
                 CPPUNIT_ASSERT(question->question.wait / followers_per_region <
                                milliseconds(2'000) - takeover_margin);
             }
         }
-        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, count<ask_inventory_effect>(asked));
+        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, count<query_inventory_effect>(asked));
     }
 
     /// Guards against long waits for lost queries: a store that was silent from 15 to 19.5 s lost
@@ -392,12 +392,12 @@
         for (const auto kind : {inventory_kind::targets, inventory_kind::configuration}) {
             const auto asked = answer(state, milliseconds(200), kind, {}, 10);
             for (const auto& e : asked) {
-                if (const auto* question = std::get_if<ask_inventory_effect>(&e)) {
+                if (const auto* question = std::get_if<query_inventory_effect>(&e)) {
                     CPPUNIT_ASSERT(question->question.wait + call_timeout <
                                    in_touch_after_outage + drain_time);
                 }
             }
-            CPPUNIT_ASSERT_EQUAL(std::size_t{1}, count<ask_inventory_effect>(asked));
+            CPPUNIT_ASSERT_EQUAL(std::size_t{1}, count<query_inventory_effect>(asked));
         }
     }
 
@@ -510,7 +510,7 @@
         fail(state, seconds(2), inventory_kind::targets, result_code::platform_unavailable);
         for (auto now = milliseconds(2'250); now <= seconds(5); now += tick_interval) {
             for (const auto& e : reduce(state, at(now, tick_event{}))) {
-                const auto* asked = std::get_if<ask_inventory_effect>(&e);
+                const auto* asked = std::get_if<query_inventory_effect>(&e);
                 if (asked != nullptr && asked->question.kind == inventory_kind::targets) {
                     CPPUNIT_ASSERT(asked->question.wait == milliseconds(0));
                     return;
--- a/unit_tests/control/store_world.cpp
+++ b/unit_tests/control/store_world.cpp
@@ -188,7 +188,7 @@
             send(id, *gossip);
         } else if (const auto* evidence = std::get_if<share_evidence_effect>(&e)) {
             share(id, *evidence);
-        } else if (const auto* asked = std::get_if<ask_inventory_effect>(&e)) {
+        } else if (const auto* asked = std::get_if<query_inventory_effect>(&e)) {
             ask(id, asked->question);
         } else if (const auto* copy = std::get_if<fetch_inventory_effect>(&e)) {
             const auto answer = [this, have = copy->have](const control_state& state) {
