--- a/source/control/peer_inventory.cpp
+++ b/source/control/peer_inventory.cpp
@@ -177,10 +177,10 @@
 
 void ask_for_copy(control_state& state, const event& e, const endpoint& peer, effects& out)
 {
-    if (e.now < state.inventory.next_peer_question) {
+    if (e.now < state.inventory.next_peer_query) {
         return;
     }
-    state.inventory.next_peer_question = e.now + copy_request_interval;
+    state.inventory.next_peer_query = e.now + copy_request_interval;
     inventory_revisions have{};
     for (std::size_t i = 0; i < inventory_kinds; ++i) {
         const auto& list = state.inventory.lists.at(i);
--- a/source/control/state.h
+++ b/source/control/state.h
@@ -143,7 +143,7 @@
     monotonic_time last_failure{};      ///< of any call to the store
     monotonic_time unreachable_since{}; ///< zero if the store answers or never answered
     monotonic_time reachable_since{};   ///< when the store became reachable again
-    monotonic_time next_peer_question{};
+    monotonic_time next_peer_query{};
     monotonic_time next_starting_question{};
     bool repeats_announcement = false; ///< once, at the next tick, since datagrams get lost
     std::string news;                  ///< the latest changes, encoded for announcements
