--- a/source/control/peer_inventory.cpp
+++ b/source/control/peer_inventory.cpp
@@ -366,10 +366,10 @@
         asked_of_peers, [&](const auto kind) { return !list_of(inventory, kind).is_complete; });
     const bool lacks_something = lacks_lists || !state.fleet.envelope;
     if (state.stage != life_stage::starting || !lacks_something ||
-        e.now < inventory.next_starting_question) {
+        e.now < inventory.next_startup_query) {
         return;
     }
-    inventory.next_starting_question = e.now + starting_question_pause;
+    inventory.next_startup_query = e.now + starting_question_pause;
     if (!list_of(inventory, inventory_kind::hosts).is_complete) {
         ask_seeds_for_hosts(state, out);
         return;
--- a/source/control/state.h
+++ b/source/control/state.h
@@ -144,7 +144,7 @@
     monotonic_time unreachable_since{}; ///< zero if the store answers or never answered
     monotonic_time reachable_since{};   ///< when the store became reachable again
     monotonic_time next_peer_query{};
-    monotonic_time next_starting_question{};
+    monotonic_time next_startup_query{};
     bool repeats_announcement = false; ///< once, at the next tick, since datagrams get lost
     std::string news;                  ///< the latest changes, encoded for announcements
     std::size_t own_rank = 0;          ///< in its region, as of the latest tick
