--- a/source/control/peer_inventory.cpp
+++ b/source/control/peer_inventory.cpp
@@ -15,7 +15,7 @@
 using std::chrono::milliseconds;
 
 /// Interval between queries to peers while a host starts.
-constexpr milliseconds starting_question_pause{400};
+constexpr milliseconds startup_query_interval{400};
 constexpr std::array asked_of_peers{inventory_kind::targets, inventory_kind::evacuations,
                                     inventory_kind::hosts};
 /// The wall clock and the steady clock drift apart by less than this between two ticks.
@@ -369,7 +369,7 @@
         e.now < inventory.next_startup_query) {
         return;
     }
-    inventory.next_startup_query = e.now + starting_question_pause;
+    inventory.next_startup_query = e.now + startup_query_interval;
     if (!list_of(inventory, inventory_kind::hosts).is_complete) {
         ask_seeds_for_hosts(state, out);
         return;
