--- a/source/control/inventory_sync.cpp
+++ b/source/control/inventory_sync.cpp
@@ -297,7 +297,7 @@
     register_if_due(state, e, out);
     remove_expired_targets(state, e, out);
     remove_long_dead(state, e, out);
-    ask_peers_while_starting(state, e, out);
+    query_peers_while_starting(state, e, out);
 }
 
 void handle_inventory_page(control_state& state, const event& e, const inventory_read_event& read,
--- a/source/control/peer_inventory.cpp
+++ b/source/control/peer_inventory.cpp
@@ -359,7 +359,7 @@
     }
 }
 
-void ask_peers_while_starting(control_state& state, const event& e, effects& out)
+void query_peers_while_starting(control_state& state, const event& e, effects& out)
 {
     auto& inventory = state.inventory;
     const bool lacks_lists = std::ranges::any_of(
--- a/source/control/peer_inventory.h
+++ b/source/control/peer_inventory.h
@@ -43,7 +43,7 @@
 
 /// Requests the list of hosts from the seeds and then what is still missing from random hosts,
 /// mostly of the same region.
-void ask_peers_while_starting(control_state& state, const event& e, effects& out);
+void query_peers_while_starting(control_state& state, const event& e, effects& out);
 
 /// Invalidates all confirmations after a suspension. Their ages are measured with the steady clock,
 /// which stops while the machine is suspended; a gap between it and the wall clock reveals that.
