--- a/source/control/inventory_sync.cpp
+++ b/source/control/inventory_sync.cpp
@@ -88,7 +88,7 @@
     question.wait = list.is_following ? follow_wait(state, kind) : std::chrono::milliseconds{0};
     question.number = ++list.call;
     if (list.page_after.empty()) {
-        list.asked_at = state.now;
+        list.queried_at = state.now;
     }
     out.emplace_back(query_inventory_effect{std::move(question)});
 }
@@ -189,7 +189,7 @@
     list.is_following = true;
     list.had_changes = true;
     list.at = list.read_at;
-    list.confirmed = list.asked_at;
+    list.confirmed = list.queried_at;
     // A list does not show deletions, and changes after its first page are not known yet.
     const auto changed = has_dropped ? list.at : std::min(list.read_changed, list.at);
     if (changed > list.changed) {
--- a/source/control/state.h
+++ b/source/control/state.h
@@ -103,7 +103,7 @@
     store_revision at;
     store_revision changed;      ///< of the last answer that contained changes
     monotonic_time confirmed{};  ///< when the current list was last known to be complete
-    monotonic_time asked_at{};   ///< when changes or the first page of the list were queried
+    monotonic_time queried_at{}; ///< when changes or the first page of the list were queried
     store_revision read_at;      ///< of the first page of the list being read
     store_revision read_changed; ///< of the latest change on the pages read so far
     bool is_complete = false;    ///< has been read completely, by this host or a peer
