--- a/unit_tests/control/store_followers_test.cpp
+++ b/unit_tests/control/store_followers_test.cpp
@@ -55,7 +55,7 @@
 
 /// Injects a fault at all followers just before changes, which must take effect in time on all
 /// hosts without the fault.
-void play_fault_of_followers(host_fault fault, std::uint64_t seed)
+void inject_fault_at_followers(host_fault fault, std::uint64_t seed)
 {
     store_world_settings settings;
     settings.seed = seed;
@@ -126,28 +126,28 @@
     void dead_followers_are_replaced_in_time()
     {
         for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
-            play_fault_of_followers(host_fault::dead, seed);
+            inject_fault_at_followers(host_fault::dead, seed);
         }
     }
 
     void frozen_followers_are_replaced_in_time()
     {
         for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
-            play_fault_of_followers(host_fault::frozen, seed);
+            inject_fault_at_followers(host_fault::frozen, seed);
         }
     }
 
     void deaf_followers_are_replaced_in_time()
     {
         for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
-            play_fault_of_followers(host_fault::deaf, seed);
+            inject_fault_at_followers(host_fault::deaf, seed);
         }
     }
 
     void followers_cut_off_are_replaced_in_time()
     {
         for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
-            play_fault_of_followers(host_fault::alone, seed);
+            inject_fault_at_followers(host_fault::alone, seed);
         }
     }
 
