--- a/unit_tests/control/control_test.cpp
+++ b/unit_tests/control/control_test.cpp
@@ -83,7 +83,7 @@
     CPPUNIT_TEST(a_bad_text_is_refused_once_and_the_old_one_stays);
     CPPUNIT_TEST(silent_hosts_die_and_return);
     CPPUNIT_TEST(a_replaced_host_is_known_by_its_new_life);
-    CPPUNIT_TEST(a_death_is_believed_until_a_newer_beat);
+    CPPUNIT_TEST(a_reported_death_holds_until_a_newer_heartbeat);
     CPPUNIT_TEST(an_own_pause_kills_nobody);
     CPPUNIT_TEST(failing_targets_are_ejected_and_return_after_probes);
     CPPUNIT_TEST(when_most_targets_look_dead_none_is_ejected);
@@ -150,7 +150,7 @@
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, state.claim_view.alive.at(host_id("a2")).value);
     }
 
-    void a_death_is_believed_until_a_newer_beat()
+    void a_reported_death_holds_until_a_newer_heartbeat()
     {
         auto state = serving_state();
         auto death = beat_of(1, 5);
