--- a/unit_tests/control/control_test.cpp
+++ b/unit_tests/control/control_test.cpp
@@ -84,7 +84,7 @@
     CPPUNIT_TEST(silent_hosts_die_and_return);
     CPPUNIT_TEST(a_replaced_host_is_known_by_its_new_life);
     CPPUNIT_TEST(a_reported_death_holds_until_a_newer_heartbeat);
-    CPPUNIT_TEST(an_own_pause_kills_nobody);
+    CPPUNIT_TEST(a_pause_of_the_process_declares_no_host_dead);
     CPPUNIT_TEST(failing_targets_are_ejected_and_return_after_probes);
     CPPUNIT_TEST(when_most_targets_look_dead_none_is_ejected);
     CPPUNIT_TEST(a_request_at_two_crashes_is_quarantined_and_released);
@@ -165,7 +165,7 @@
         CPPUNIT_ASSERT(is_alive(state));
     }
 
-    void an_own_pause_kills_nobody()
+    void a_pause_of_the_process_declares_no_host_dead()
     {
         auto state = serving_state();
         reduce(state, at(milliseconds(250), tick_event{}));
