--- a/unit_tests/control/control_test.cpp
+++ b/unit_tests/control/control_test.cpp
@@ -88,7 +88,7 @@
     CPPUNIT_TEST(failing_targets_are_ejected_and_return_after_probes);
     CPPUNIT_TEST(when_most_targets_look_dead_none_is_ejected);
     CPPUNIT_TEST(a_request_at_two_crashes_is_quarantined_and_released);
-    CPPUNIT_TEST(innocents_beside_it_are_not);
+    CPPUNIT_TEST(uninvolved_requests_are_not_quarantined);
     CPPUNIT_TEST(a_stop_is_news_to_peers_at_once);
     CPPUNIT_TEST(a_stop_waits_until_callers_have_forgotten);
     CPPUNIT_TEST_SUITE_END();
@@ -220,7 +220,7 @@
 
     /// Request 8 was in flight at both crashes too, so neither request is quarantined. Once request
     /// 8 is served it is cleared, and the other one is quarantined.
-    void innocents_beside_it_are_not()
+    void uninvolved_requests_are_not_quarantined()
     {
         auto state = serving_state();
         for (const auto* target : {"t1", "t2"}) {
