--- a/unit_tests/control/crash_evidence_test.cpp
+++ b/unit_tests/control/crash_evidence_test.cpp
@@ -70,7 +70,7 @@
     CPPUNIT_TEST(a_crash_is_told_to_few_hosts_of_a_large_fleet);
     CPPUNIT_TEST(a_request_at_crashes_seen_by_different_hosts_is_refused_everywhere);
     CPPUNIT_TEST(the_loss_of_all_followers_of_a_region_leaves_nobody_out);
-    CPPUNIT_TEST(innocents_beside_it_are_not_refused);
+    CPPUNIT_TEST(uninvolved_requests_are_not_refused);
     CPPUNIT_TEST_SUITE_END();
 
 public:
@@ -112,7 +112,7 @@
 
     /// Request 8 was in flight at both crashes too, each observed by one host; a third crash
     /// distinguishes the two requests.
-    void innocents_beside_it_are_not_refused()
+    void uninvolved_requests_are_not_refused()
     {
         constexpr request_fingerprint innocent = 8;
         auto world = make_world();
