--- a/unit_tests/control/control_test.cpp
+++ b/unit_tests/control/control_test.cpp
@@ -89,7 +89,7 @@
     CPPUNIT_TEST(when_most_targets_look_dead_none_is_ejected);
     CPPUNIT_TEST(a_request_at_two_crashes_is_quarantined_and_released);
     CPPUNIT_TEST(uninvolved_requests_are_not_quarantined);
-    CPPUNIT_TEST(a_stop_is_news_to_peers_at_once);
+    CPPUNIT_TEST(a_stop_is_announced_to_peers_at_once);
     CPPUNIT_TEST(a_stop_waits_until_callers_have_forgotten);
     CPPUNIT_TEST_SUITE_END();
 
@@ -238,7 +238,7 @@
 
     /// Guards against an announcement of a stop whose heartbeat peers already have: they would
     /// ignore it and learn of the stop only from a later heartbeat.
-    void a_stop_is_news_to_peers_at_once()
+    void a_stop_is_announced_to_peers_at_once()
     {
         auto state = serving_state();
         reduce(state, at(milliseconds(250), tick_event{}));
