--- a/unit_tests/control/control_test.cpp
+++ b/unit_tests/control/control_test.cpp
@@ -90,7 +90,7 @@
     CPPUNIT_TEST(a_request_at_two_crashes_is_quarantined_and_released);
     CPPUNIT_TEST(uninvolved_requests_are_not_quarantined);
     CPPUNIT_TEST(a_stop_is_announced_to_peers_at_once);
-    CPPUNIT_TEST(a_stop_waits_until_callers_have_forgotten);
+    CPPUNIT_TEST(a_stop_waits_until_lookup_answers_have_expired);
     CPPUNIT_TEST_SUITE_END();
 
 public:
@@ -253,7 +253,7 @@
         CPPUNIT_FAIL("a stopping host sent no gossip to its peers");
     }
 
-    void a_stop_waits_until_callers_have_forgotten()
+    void a_stop_waits_until_lookup_answers_have_expired()
     {
         auto state = serving_state();
         auto out = reduce(state, at(milliseconds(100), stop_requested_event{}));
