--- a/unit_tests/control/crash_evidence_test.cpp
+++ b/unit_tests/control/crash_evidence_test.cpp
@@ -69,7 +69,7 @@
     CPPUNIT_TEST_SUITE(crash_evidence_test);
     CPPUNIT_TEST(a_crash_is_told_to_few_hosts_of_a_large_fleet);
     CPPUNIT_TEST(a_request_at_crashes_seen_by_different_hosts_is_refused_everywhere);
-    CPPUNIT_TEST(the_loss_of_all_followers_of_a_region_leaves_nobody_out);
+    CPPUNIT_TEST(all_hosts_are_notified_despite_the_loss_of_a_regions_followers);
     CPPUNIT_TEST(uninvolved_requests_are_not_refused);
     CPPUNIT_TEST_SUITE_END();
 
@@ -95,7 +95,7 @@
         CPPUNIT_ASSERT(is_refused_everywhere(world, poison));
     }
 
-    void the_loss_of_all_followers_of_a_region_leaves_nobody_out()
+    void all_hosts_are_notified_despite_the_loss_of_a_regions_followers()
     {
         auto world = make_world();
         const auto home = world.hosts().front().value.substr(0, std::string("edge-r0").size());
