--- a/unit_tests/control/inventory_test.cpp
+++ b/unit_tests/control/inventory_test.cpp
@@ -180,7 +180,7 @@
     CPPUNIT_TEST(serves_once_configuration_and_targets_are_known);
     CPPUNIT_TEST(hosts_that_come_and_go_cost_one_snapshot_a_tick);
     CPPUNIT_TEST(lists_come_in_pages);
-    CPPUNIT_TEST(a_list_is_not_told_before_its_last_page);
+    CPPUNIT_TEST(a_list_is_not_shared_before_its_last_page);
     CPPUNIT_TEST(a_list_read_anew_drops_what_it_does_not_name);
     CPPUNIT_TEST(unreadable_entries_name_nothing_and_are_logged_once);
     CPPUNIT_TEST(known_targets_stay_while_the_store_is_away);
@@ -255,7 +255,7 @@
 
     /// Guards against sharing a partly read list: in a simulation of 72 hosts, a peer copied a list
     /// of which the sender had read one page of two, and permanently lacked 8 hosts.
-    void a_list_is_not_told_before_its_last_page()
+    void a_list_is_not_shared_before_its_last_page()
     {
         auto state = serving_state({item_of(target_of("t1"))});
         fail(state, seconds(5), inventory_kind::targets, result_code::platform_history_lost);
