--- a/unit_tests/control/inventory_test.cpp
+++ b/unit_tests/control/inventory_test.cpp
@@ -181,7 +181,7 @@
     CPPUNIT_TEST(hosts_that_come_and_go_cost_one_snapshot_a_tick);
     CPPUNIT_TEST(lists_come_in_pages);
     CPPUNIT_TEST(a_list_is_not_shared_before_its_last_page);
-    CPPUNIT_TEST(a_list_read_anew_drops_what_it_does_not_name);
+    CPPUNIT_TEST(a_list_read_again_removes_unlisted_entries);
     CPPUNIT_TEST(unreadable_entries_name_nothing_and_are_logged_once);
     CPPUNIT_TEST(known_targets_stay_while_the_store_is_away);
     CPPUNIT_TEST(missing_targets_may_return_for_two_seconds_after_an_outage);
@@ -270,7 +270,7 @@
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{30}, revisions_of(state.inventory).at(kind).value);
     }
 
-    void a_list_read_anew_drops_what_it_does_not_name()
+    void a_list_read_again_removes_unlisted_entries()
     {
         auto state = serving_state({item_of(target_of("t1")), item_of(target_of("t2"))});
         fail(state, seconds(5), inventory_kind::targets, result_code::platform_history_lost);
