--- a/unit_tests/control/inventory_test.cpp
+++ b/unit_tests/control/inventory_test.cpp
@@ -182,7 +182,7 @@
     CPPUNIT_TEST(lists_come_in_pages);
     CPPUNIT_TEST(a_list_is_not_shared_before_its_last_page);
     CPPUNIT_TEST(a_list_read_again_removes_unlisted_entries);
-    CPPUNIT_TEST(unreadable_entries_name_nothing_and_are_logged_once);
+    CPPUNIT_TEST(unreadable_entries_are_ignored_and_logged_once);
     CPPUNIT_TEST(known_targets_stay_while_the_store_is_away);
     CPPUNIT_TEST(missing_targets_may_return_for_two_seconds_after_an_outage);
     CPPUNIT_TEST(deletions_after_an_outage_take_effect_within_the_drain_time);
@@ -281,7 +281,7 @@
         CPPUNIT_ASSERT(question_of(state, inventory_kind::targets).follow);
     }
 
-    void unreadable_entries_name_nothing_and_are_logged_once()
+    void unreadable_entries_are_ignored_and_logged_once()
     {
         auto state = serving_state({item_of(target_of("t"))});
         const inventory_item forged{"x", unreadable_entry{"no address"}};
