--- a/unit_tests/control/inventory_test.cpp
+++ b/unit_tests/control/inventory_test.cpp
@@ -186,7 +186,7 @@
     CPPUNIT_TEST(known_targets_stay_while_the_store_is_away);
     CPPUNIT_TEST(missing_targets_may_return_for_two_seconds_after_an_outage);
     CPPUNIT_TEST(deletions_after_an_outage_take_effect_within_the_drain_time);
-    CPPUNIT_TEST(a_silent_question_is_asked_anew_when_peers_are_ahead);
+    CPPUNIT_TEST(a_lost_query_is_repeated_when_peers_are_ahead);
     CPPUNIT_TEST(followers_together_ask_often_and_each_one_seldom);
     CPPUNIT_TEST(a_question_lost_in_an_outage_is_over_soon_after_it);
     CPPUNIT_TEST(answers_without_changes_are_no_news_for_peers);
@@ -335,7 +335,7 @@
 
     /// Guards against lost long polls: after the store dropped its history, some of them were
     /// neither answered nor closed.
-    void a_silent_question_is_asked_anew_when_peers_are_ahead()
+    void a_lost_query_is_repeated_when_peers_are_ahead()
     {
         auto state = serving_state({item_of(target_of("t"))});
         tick_until(state, milliseconds(250), milliseconds(900));
