--- a/unit_tests/control/inventory_test.cpp
+++ b/unit_tests/control/inventory_test.cpp
@@ -187,7 +187,7 @@
     CPPUNIT_TEST(missing_targets_may_return_for_two_seconds_after_an_outage);
     CPPUNIT_TEST(deletions_after_an_outage_take_effect_within_the_drain_time);
     CPPUNIT_TEST(a_lost_query_is_repeated_when_peers_are_ahead);
-    CPPUNIT_TEST(followers_together_ask_often_and_each_one_seldom);
+    CPPUNIT_TEST(followers_query_often_together_and_rarely_each);
     CPPUNIT_TEST(a_question_lost_in_an_outage_is_over_soon_after_it);
     CPPUNIT_TEST(answers_without_changes_are_no_news_for_peers);
     CPPUNIT_TEST(the_same_change_read_later_is_no_news_for_peers);
@@ -355,7 +355,7 @@
 
     /// Each follower of a region waits a second or more between queries, and together they confirm
     /// a list before another host would take over.
-    void followers_together_ask_often_and_each_one_seldom()
+    void followers_query_often_together_and_rarely_each()
     {
         auto state = serving_state({});
         for (std::size_t i = 2; i <= hosts; ++i) {
