--- a/unit_tests/control/inventory_test.cpp
+++ b/unit_tests/control/inventory_test.cpp
@@ -188,7 +188,7 @@
     CPPUNIT_TEST(deletions_after_an_outage_take_effect_within_the_drain_time);
     CPPUNIT_TEST(a_lost_query_is_repeated_when_peers_are_ahead);
     CPPUNIT_TEST(followers_query_often_together_and_rarely_each);
-    CPPUNIT_TEST(a_question_lost_in_an_outage_is_over_soon_after_it);
+    CPPUNIT_TEST(a_query_lost_in_an_outage_ends_soon_after_it);
     CPPUNIT_TEST(answers_without_changes_are_no_news_for_peers);
     CPPUNIT_TEST(the_same_change_read_later_is_no_news_for_peers);
     CPPUNIT_TEST(a_host_starts_from_its_peers_while_the_store_is_away);
@@ -377,7 +377,7 @@
 
     /// Guards against long waits for lost queries: a store that was silent from 15 to 19.5 s lost
     /// long polls with a timeout of 9 s, so targets that left at 22.5 s were used until 25 s.
-    void a_question_lost_in_an_outage_is_over_soon_after_it()
+    void a_query_lost_in_an_outage_ends_soon_after_it()
     {
         constexpr seconds in_touch_after_outage{3};
         constexpr seconds drain_time{2};
