--- a/unit_tests/control/inventory_test.cpp
+++ b/unit_tests/control/inventory_test.cpp
@@ -189,7 +189,7 @@
     CPPUNIT_TEST(a_lost_query_is_repeated_when_peers_are_ahead);
     CPPUNIT_TEST(followers_query_often_together_and_rarely_each);
     CPPUNIT_TEST(a_query_lost_in_an_outage_ends_soon_after_it);
-    CPPUNIT_TEST(answers_without_changes_are_no_news_for_peers);
+    CPPUNIT_TEST(answers_without_changes_do_not_advance_the_revision);
     CPPUNIT_TEST(the_same_change_read_later_is_no_news_for_peers);
     CPPUNIT_TEST(a_host_starts_from_its_peers_while_the_store_is_away);
     CPPUNIT_TEST(an_older_copy_of_a_peer_changes_nothing);
@@ -403,7 +403,7 @@
 
     /// Guards against needless queries: hosts queried evacuations 27 to 53 times although there
     /// were none, since the store's revision grows with changes of any list.
-    void answers_without_changes_are_no_news_for_peers()
+    void answers_without_changes_do_not_advance_the_revision()
     {
         auto state = serving_state({item_of(target_of("t"))});
         const auto kind = static_cast<std::size_t>(inventory_kind::evacuations);
