--- a/unit_tests/control/inventory_test.cpp
+++ b/unit_tests/control/inventory_test.cpp
@@ -190,7 +190,7 @@
     CPPUNIT_TEST(followers_query_often_together_and_rarely_each);
     CPPUNIT_TEST(a_query_lost_in_an_outage_ends_soon_after_it);
     CPPUNIT_TEST(answers_without_changes_do_not_advance_the_revision);
-    CPPUNIT_TEST(the_same_change_read_later_is_no_news_for_peers);
+    CPPUNIT_TEST(the_same_change_read_later_gives_the_same_revision);
     CPPUNIT_TEST(a_host_starts_from_its_peers_while_the_store_is_away);
     CPPUNIT_TEST(an_older_copy_of_a_peer_changes_nothing);
     CPPUNIT_TEST(a_copy_for_peers_leaves_out_deleted_targets_that_may_return);
@@ -418,7 +418,7 @@
     /// Guards against needless queries: each host queried evacuations 19 times although there were
     /// none, since hosts that had read the same change at different times took each other's
     /// revisions for newer ones.
-    void the_same_change_read_later_is_no_news_for_peers()
+    void the_same_change_read_later_gives_the_same_revision()
     {
         const auto kind = static_cast<std::size_t>(inventory_kind::targets);
         auto late = serving_state({});
