--- a/unit_tests/control/inventory_test.cpp
+++ b/unit_tests/control/inventory_test.cpp
@@ -195,7 +195,7 @@
     CPPUNIT_TEST(an_older_copy_of_a_peer_changes_nothing);
     CPPUNIT_TEST(a_copy_for_peers_leaves_out_deleted_targets_that_may_return);
     CPPUNIT_TEST(the_stores_own_list_replaces_a_peers_copy);
-    CPPUNIT_TEST(the_first_question_after_a_failure_does_not_wait);
+    CPPUNIT_TEST(the_first_query_after_a_failure_is_not_a_long_poll);
     CPPUNIT_TEST(the_configuration_never_goes_back);
     CPPUNIT_TEST(evacuated_targets_get_nothing_and_come_back_cold);
     CPPUNIT_TEST(a_restarted_target_is_a_new_one);
@@ -504,7 +504,7 @@
     /// Guards against a long poll as the first query after a failure: a host whose path to the
     /// store was restored at 13.2 s considered the store unreachable for two more seconds, since
     /// its query had been sent before and was waiting.
-    void the_first_question_after_a_failure_does_not_wait()
+    void the_first_query_after_a_failure_is_not_a_long_poll()
     {
         auto state = serving_state({item_of(target_of("t"))});
         fail(state, seconds(2), inventory_kind::targets, result_code::platform_unavailable);
