--- a/unit_tests/control/inventory_test.cpp
+++ b/unit_tests/control/inventory_test.cpp
@@ -199,7 +199,7 @@
     CPPUNIT_TEST(the_configuration_never_goes_back);
     CPPUNIT_TEST(evacuated_targets_get_nothing_and_come_back_cold);
     CPPUNIT_TEST(a_restarted_target_is_a_new_one);
-    CPPUNIT_TEST(all_hosts_together_keep_to_what_a_cold_target_stands);
+    CPPUNIT_TEST(all_hosts_together_respect_the_rate_of_a_cold_target);
     CPPUNIT_TEST(late_answers_of_replaced_questions_are_ignored);
     CPPUNIT_TEST(a_bounded_stop_leaves_time_for_running_requests);
     CPPUNIT_TEST_SUITE_END();
@@ -563,7 +563,7 @@
                              state.fleet.configuration.targets.at(target_id("t")).life.value);
     }
 
-    void all_hosts_together_keep_to_what_a_cold_target_stands()
+    void all_hosts_together_respect_the_rate_of_a_cold_target()
     {
         const auto t = target_of("t");
         double all = 0;
