--- a/unit_tests/control/inventory_test.cpp
+++ b/unit_tests/control/inventory_test.cpp
@@ -200,7 +200,7 @@
     CPPUNIT_TEST(evacuated_targets_get_nothing_and_come_back_cold);
     CPPUNIT_TEST(a_restarted_target_is_a_new_one);
     CPPUNIT_TEST(all_hosts_together_respect_the_rate_of_a_cold_target);
-    CPPUNIT_TEST(late_answers_of_replaced_questions_are_ignored);
+    CPPUNIT_TEST(late_answers_to_superseded_queries_are_ignored);
     CPPUNIT_TEST(a_bounded_stop_leaves_time_for_running_requests);
     CPPUNIT_TEST_SUITE_END();
 
@@ -575,7 +575,7 @@
         CPPUNIT_ASSERT(all <= 3.5);
     }
 
-    void late_answers_of_replaced_questions_are_ignored()
+    void late_answers_to_superseded_queries_are_ignored()
     {
         auto state = serving_state({item_of(target_of("t"))});
         auto replaced = question_of(state, inventory_kind::targets);
