--- a/unit_tests/control/inventory_test.cpp
+++ b/unit_tests/control/inventory_test.cpp
@@ -178,7 +178,7 @@
 class inventory_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(inventory_test);
     CPPUNIT_TEST(serves_once_configuration_and_targets_are_known);
-    CPPUNIT_TEST(hosts_that_come_and_go_cost_one_snapshot_a_tick);
+    CPPUNIT_TEST(host_changes_cost_one_snapshot_per_tick);
     CPPUNIT_TEST(lists_come_in_pages);
     CPPUNIT_TEST(a_list_is_not_shared_before_its_last_page);
     CPPUNIT_TEST(a_list_read_again_removes_unlisted_entries);
@@ -207,7 +207,7 @@
 public:
     /// Guards against a snapshot per membership change: ten host restarts per second made every
     /// host build dozens of complete snapshots per second.
-    void hosts_that_come_and_go_cost_one_snapshot_a_tick()
+    void host_changes_cost_one_snapshot_per_tick()
     {
         auto state = make_state();
         reduce(state, at(milliseconds(1), tick_event{}));
