--- a/unit_tests/control/store_followers_test.cpp
+++ b/unit_tests/control/store_followers_test.cpp
@@ -75,7 +75,7 @@
 class store_followers_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(store_followers_test);
     CPPUNIT_TEST(all_hosts_start_and_few_follow);
-    CPPUNIT_TEST(news_reach_all_hosts_in_time);
+    CPPUNIT_TEST(changes_reach_all_hosts_in_time);
     CPPUNIT_TEST(news_reach_all_hosts_of_a_large_fleet_over_lossy_paths);
     CPPUNIT_TEST(dead_followers_are_replaced_in_time);
     CPPUNIT_TEST(frozen_followers_are_replaced_in_time);
@@ -97,7 +97,7 @@
         CPPUNIT_ASSERT_EQUAL(3 * followers_per_region, world.followers().size());
     }
 
-    void news_reach_all_hosts_in_time()
+    void changes_reach_all_hosts_in_time()
     {
         for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
             store_world_settings settings;
