--- a/unit_tests/control/store_followers_test.cpp
+++ b/unit_tests/control/store_followers_test.cpp
@@ -76,7 +76,7 @@
     CPPUNIT_TEST_SUITE(store_followers_test);
     CPPUNIT_TEST(all_hosts_start_and_few_follow);
     CPPUNIT_TEST(changes_reach_all_hosts_in_time);
-    CPPUNIT_TEST(news_reach_all_hosts_of_a_large_fleet_over_lossy_paths);
+    CPPUNIT_TEST(changes_reach_all_hosts_of_a_large_fleet_over_lossy_paths);
     CPPUNIT_TEST(dead_followers_are_replaced_in_time);
     CPPUNIT_TEST(frozen_followers_are_replaced_in_time);
     CPPUNIT_TEST(deaf_followers_are_replaced_in_time);
@@ -115,7 +115,7 @@
         }
     }
 
-    void news_reach_all_hosts_of_a_large_fleet_over_lossy_paths()
+    void changes_reach_all_hosts_of_a_large_fleet_over_lossy_paths()
     {
         auto world = make_world({3, 3, 22, 0.1, 7, milliseconds(3'000)});
         change_all(world);
