--- a/unit_tests/control/store_followers_test.cpp
+++ b/unit_tests/control/store_followers_test.cpp
@@ -81,7 +81,7 @@
     CPPUNIT_TEST(frozen_followers_are_replaced_in_time);
     CPPUNIT_TEST(deaf_followers_are_replaced_in_time);
     CPPUNIT_TEST(followers_cut_off_are_replaced_in_time);
-    CPPUNIT_TEST(a_follower_that_wakes_takes_nothing_back);
+    CPPUNIT_TEST(a_resumed_follower_reverts_no_changes);
     CPPUNIT_TEST(a_host_that_starts_learns_all_from_its_peers);
     CPPUNIT_TEST(all_hosts_restart_while_the_store_is_away);
     CPPUNIT_TEST(a_quiet_fleet_asks_seldom_at_any_size);
@@ -152,7 +152,7 @@
     }
 
     /// Its lists are outdated, and its steady clock stopped while it was frozen.
-    void a_follower_that_wakes_takes_nothing_back()
+    void a_resumed_follower_reverts_no_changes()
     {
         auto world = make_world();
         const auto frozen = world.followers();
