--- a/unit_tests/control/store_followers_test.cpp
+++ b/unit_tests/control/store_followers_test.cpp
@@ -84,7 +84,7 @@
     CPPUNIT_TEST(a_resumed_follower_reverts_no_changes);
     CPPUNIT_TEST(a_host_that_starts_learns_all_from_its_peers);
     CPPUNIT_TEST(all_hosts_restart_while_the_store_is_away);
-    CPPUNIT_TEST(a_quiet_fleet_asks_seldom_at_any_size);
+    CPPUNIT_TEST(an_idle_fleet_queries_the_store_rarely_at_any_size);
     CPPUNIT_TEST_SUITE_END();
 
 public:
@@ -216,7 +216,7 @@
     }
 
     /// The limits for a run of 40 s: 25 calls per host with 12 hosts, 15 with 72, 8 with 198.
-    void a_quiet_fleet_asks_seldom_at_any_size()
+    void an_idle_fleet_queries_the_store_rarely_at_any_size()
     {
         struct size {
             std::size_t domains = 0;
