--- a/source/control/inventory_sync.cpp
+++ b/source/control/inventory_sync.cpp
@@ -340,18 +340,18 @@
     if (!state.self.has_inventory) {
         return;
     }
-    auto& text = state.fleet.configuration;
-    text.settings.lookup_ttl = state.self.budgets.lookup_ttl;
+    auto& configuration = state.fleet.configuration;
+    configuration.settings.lookup_ttl = state.self.budgets.lookup_ttl;
     for (const auto& [domain, in_region] : state.self.domains) {
-        text.regions[in_region] = {in_region};
-        text.domains[domain] = {domain, in_region};
+        configuration.regions[in_region] = {in_region};
+        configuration.domains[domain] = {domain, in_region};
     }
-    text.hosts = state.inventory.hosts;
-    text.hosts[state.self.host] = state.self.registration;
-    text.targets.clear();
+    configuration.hosts = state.inventory.hosts;
+    configuration.hosts[state.self.host] = state.self.registration;
+    configuration.targets.clear();
     for (const auto& [id, listed] : state.inventory.targets) {
-        if (text.services.contains(listed.entry.what.serves)) {
-            text.targets.emplace(id, listed.entry.what);
+        if (configuration.services.contains(listed.entry.what.serves)) {
+            configuration.targets.emplace(id, listed.entry.what);
         }
     }
 }
--- a/source/control/membership.cpp
+++ b/source/control/membership.cpp
@@ -40,16 +40,17 @@
 /// small region, all of the region, since look-up answers list all its hosts.
 domain_set near_domains(const control_state& state)
 {
-    const auto& text = state.fleet.configuration;
-    const auto home = region_of(text, state.self.domain);
+    const auto& configuration = state.fleet.configuration;
+    const auto home = region_of(configuration, state.self.domain);
     domain_set domains;
-    for (const auto& [id, domain] : text.domains) {
+    for (const auto& [id, domain] : configuration.domains) {
         if (domain.in_region == home) {
             domains.insert(id);
         }
     }
-    const auto hosts = std::ranges::count_if(
-        text.hosts, [&](const auto& entry) { return domains.contains(entry.second.domain); });
+    const auto hosts = std::ranges::count_if(configuration.hosts, [&](const auto& entry) {
+        return domains.contains(entry.second.domain);
+    });
     if (hosts > static_cast<std::ptrdiff_t>(max_hosts_of_near_region)) {
         domains.clear();
     }
@@ -380,14 +381,15 @@
 {
     auto message = make_message(state);
     message.recent_changes = state.inventory.news;
-    const auto& text = state.fleet.configuration;
-    const bool to_all = text.hosts.size() <= max_hosts_told_at_once;
-    const auto home = region_of(text, state.self.domain);
+    const auto& configuration = state.fleet.configuration;
+    const bool to_all = configuration.hosts.size() <= max_hosts_told_at_once;
+    const auto home = region_of(configuration, state.self.domain);
     const auto domains = near_domains(state);
-    for (const auto& [id, h] : text.hosts) {
+    for (const auto& [id, h] : configuration.hosts) {
         // The hosts of a region depend on its store followers for changes.
-        const bool is_told = to_all || domains.contains(h.domain) ||
-                             (state.self.has_inventory && region_of(text, h.domain) == home);
+        const bool is_told =
+            to_all || domains.contains(h.domain) ||
+            (state.self.has_inventory && region_of(configuration, h.domain) == home);
         if (id != state.self.host && is_told) {
             out.emplace_back(send_gossip_effect{h.peers, message});
         }
--- a/source/control/snapshot_builder.cpp
+++ b/source/control/snapshot_builder.cpp
@@ -54,8 +54,8 @@
 void add_shared_targets(const control_state& state, const availability_view& world,
                         routing_snapshot& snapshot)
 {
-    const auto& text = state.fleet.configuration;
-    for (const auto& [id, t] : text.targets) {
+    const auto& configuration = state.fleet.configuration;
+    for (const auto& [id, t] : configuration.targets) {
         target_route route;
         route.id = id;
         route.address = t.address;
@@ -65,7 +65,7 @@
         route.checks_identity = t.checks_identity;
         route.life = t.life;
         route.domain = t.domain;
-        route.in_region = region_of(text, t.domain);
+        route.in_region = region_of(configuration, t.domain);
         route.cold_until = state.inventory.targets.at(id).cold_until;
         if (route.cold_until > state.now) {
             route.cold_per_second = cold_share(state, t);
@@ -82,15 +82,15 @@
 void add_entry_hosts(const control_state& state, const availability_view& world,
                      routing_snapshot& snapshot)
 {
-    const auto& text = state.fleet.configuration;
+    const auto& configuration = state.fleet.configuration;
     std::vector<endpoint> all;
-    for (const auto& [id, h] : text.hosts) {
+    for (const auto& [id, h] : configuration.hosts) {
         if (world.live_hosts.contains(id)) {
-            snapshot.entry_hosts[region_of(text, h.domain)].push_back(h.callers);
+            snapshot.entry_hosts[region_of(configuration, h.domain)].push_back(h.callers);
             all.push_back(h.callers);
         }
     }
-    for (const auto& [id, r] : text.regions) {
+    for (const auto& [id, r] : configuration.regions) {
         auto& answer = snapshot.entry_hosts[id];
         if (answer.empty()) {
             answer = all;
@@ -146,12 +146,12 @@
 void add_answers(const control_state& state, const capacity_index& places, const service& s,
                  service_routes& routes)
 {
-    const auto& text = state.fleet.configuration;
+    const auto& configuration = state.fleet.configuration;
     routes.definition = s;
-    for (const auto& [id, r] : text.regions) {
-        const auto choices = choose_hosts(text, places, s.id, id);
+    for (const auto& [id, r] : configuration.regions) {
+        const auto choices = choose_hosts(configuration, places, s.id, id);
         routes.lookup_answers[id] =
-            lookup_answer(text, s.id, state.fleet.envelope->number, choices);
+            lookup_answer(configuration, s.id, state.fleet.envelope->number, choices);
     }
 }
 
