--- a/source/traffic/claimed.cpp
+++ b/source/traffic/claimed.cpp
@@ -46,12 +46,12 @@
     }
 }
 
-forward_end refused_end(result_code code)
+forward_result refused_end(result_code code)
 {
     return {code, outcome_of(code), false, true, std::nullopt};
 }
 
-claim_finished_event finished(claim_number number, const forward_end& end)
+claim_finished_event finished(claim_number number, const forward_result& end)
 {
     if (end.what == outcome::not_run) {
         return {number, claim_end::not_run, {}};
@@ -92,7 +92,7 @@
         co_return co_await run_granted(w, request, answer.number);
     }
     if (const auto* replay = std::get_if<claim_replayed>(&answer.verdict)) {
-        const forward_end end{result_code::ok, outcome::ran, false, true, std::nullopt};
+        const forward_result end{result_code::ok, outcome::ran, false, true, std::nullopt};
         co_return claimed_end{end, replay->answer};
     }
     co_return claimed_end{refused_end(std::get<claim_refused>(answer.verdict).code), std::nullopt};
--- a/source/traffic/claimed.h
+++ b/source/traffic/claimed.h
@@ -8,7 +8,7 @@
 
 /// Result of a non-idempotent request.
 struct claimed_end {
-    forward_end end;
+    forward_result end;
     std::optional<claim_answer> replayed; ///< the stored first response, if the key was used before
 };
 
--- a/source/traffic/exchange.cpp
+++ b/source/traffic/exchange.cpp
@@ -170,13 +170,13 @@
 }
 
 /// The result of an attempt that failed before any part of a response was relayed.
-forward_end lost_end(const caller_request& request, result_code code)
+forward_result lost_end(const caller_request& request, result_code code)
 {
     return {code, outcome::unknown, false, request.body_is_complete || request.parser->is_done(),
             std::nullopt};
 }
 
-forward_end unrun_end(const caller_request& request, result_code code)
+forward_result unrun_end(const caller_request& request, result_code code)
 {
     auto end = lost_end(request, code);
     end.what = outcome::not_run;
@@ -188,7 +188,7 @@
 /// the caller does not take it for complete.
 asio::awaitable<void> write_answer(caller_request& request, upstream_connection& upstream,
                                    upstream_parser& parser, std::string& piece, std::size_t size,
-                                   pacing rate, worker& w, forward_end& end)
+                                   pacing rate, worker& w, forward_result& end)
 {
     beast::http::response_serializer<beast::http::buffer_body> serializer(parser.get());
     auto& caller = request.caller->stream;
@@ -225,8 +225,8 @@
 
 /// Relays the response. The first piece of the body, which is all of it for most responses, is read
 /// before anything is sent to the caller.
-asio::awaitable<forward_end> pass_answer(worker& w, caller_request& request, const slot& used,
-                                         upstream_connection& upstream, upstream_parser& parser)
+asio::awaitable<forward_result> pass_answer(worker& w, caller_request& request, const slot& used,
+                                            upstream_connection& upstream, upstream_parser& parser)
 {
     const auto length = parser.content_length().value_or(body_piece_bytes);
     std::string piece(std::min<std::uint64_t>(length, body_piece_bytes), '\0');
@@ -248,9 +248,9 @@
     }
     const bool is_due = co_await wait_for_turn(*request.caller, request.turn);
     if (!is_due) {
-        co_return forward_end{result_code::caller_gone, outcome::ran, false, false, {}};
+        co_return forward_result{result_code::caller_gone, outcome::ran, false, false, {}};
     }
-    forward_end end{result_code::ok, outcome::ran, true, true, std::nullopt};
+    forward_result end{result_code::ok, outcome::ran, true, true, std::nullopt};
     if (!request.repeatable && parser.is_done() && w.context.profile->claims_unrepeatable) {
         end.kept = kept_answer{parser.get().result_int(),
                                std::string(parser.get()[beast::http::field::content_type]),
@@ -376,8 +376,8 @@
     return std::chrono::seconds(seconds);
 }
 
-asio::awaitable<forward_end> judge_answer(worker& w, caller_request& request, const slot& used,
-                                          upstream_connection& upstream, upstream_parser& parser)
+asio::awaitable<forward_result> judge_answer(worker& w, caller_request& request, const slot& used,
+                                             upstream_connection& upstream, upstream_parser& parser)
 {
     if (is_foreign(w, request, parser)) {
         co_return lost_end(request, result_code::target_answer_malformed);
@@ -402,8 +402,8 @@
 
 } // namespace
 
-asio::awaitable<forward_end> exchange(worker& w, caller_request& request, const slot& used,
-                                      connection_ptr upstream)
+asio::awaitable<forward_result> exchange(worker& w, caller_request& request, const slot& used,
+                                         connection_ptr upstream)
 {
     error_code problem;
     request.upstream = upstream;
@@ -416,7 +416,7 @@
     }
     if (request.caller->gone && request.repeatable) {
         request.upstream.reset();
-        co_return forward_end{result_code::caller_gone, outcome::unknown, false, false, {}};
+        co_return forward_result{result_code::caller_gone, outcome::unknown, false, false, {}};
     }
     if (problem) {
         request.upstream.reset();
--- a/source/traffic/exchange.h
+++ b/source/traffic/exchange.h
@@ -6,7 +6,7 @@
 namespace almondquay {
 
 /// Sends the request, waits for the response header and relays the response to the caller.
-asio::awaitable<forward_end> exchange(worker& w, caller_request& request, const slot& used,
-                                      connection_ptr upstream);
+asio::awaitable<forward_result> exchange(worker& w, caller_request& request, const slot& used,
+                                         connection_ptr upstream);
 
 } // namespace almondquay
--- a/source/traffic/forward.cpp
+++ b/source/traffic/forward.cpp
@@ -105,7 +105,7 @@
 /// Chooses the target for the next attempt of a request if the targets of its service are shared by
 /// all hosts.
 std::optional<slot> take_shared(worker& w, caller_request& request,
-                                const std::vector<target_id>& excluded, forward_end& refused)
+                                const std::vector<target_id>& excluded, forward_result& refused)
 {
     const auto found = w.snapshot->services.find(request.service);
     if (found == w.snapshot->services.end()) {
@@ -141,8 +141,8 @@
     return found == nullptr ? 1 : found->slots;
 }
 
-void note_result(worker& w, const caller_request& request, const slot& used, const forward_end& end,
-                 clock::time_point sent)
+void note_result(worker& w, const caller_request& request, const slot& used,
+                 const forward_result& end, clock::time_point sent)
 {
     auto& load = w.loads[used.target];
     const auto now = clock::now();
@@ -191,7 +191,7 @@
 /// If the connection closed without a response, tests whether this request crashed the target. A
 /// suspected request that is served is cleared.
 void note_suspicion(worker& w, const caller_request& request, const slot& used,
-                    const forward_end& end)
+                    const forward_result& end)
 {
     if (end.code == result_code::target_answer_lost) {
         asio::co_spawn(w.io,
@@ -203,7 +203,7 @@
     }
 }
 
-asio::awaitable<forward_end> attempt(worker& w, caller_request& request, const slot& used)
+asio::awaitable<forward_result> attempt(worker& w, caller_request& request, const slot& used)
 {
     // Non-idempotent requests are never sent on a reused connection, where a close by the target
     // would leave their outcome unknown.
@@ -218,11 +218,12 @@
                                   ? target_evidence::connection_refused
                                   : target_evidence::connect_failed);
             }
-            co_return forward_end{
+            co_return forward_result{
                 result_code::target_unreachable, outcome::not_run, false, true, {}};
         }
         if (used.checks_identity && !is_usable(*w.snapshot, used.service, used.target)) {
-            co_return forward_end{result_code::target_withdrawn, outcome::not_run, false, true, {}};
+            co_return forward_result{
+                result_code::target_withdrawn, outcome::not_run, false, true, {}};
         }
     }
     const bool reused = upstream->reused;
@@ -270,8 +271,8 @@
 
 /// Makes one attempt within this host's share of slots. Returns nothing if no slot is available;
 /// the reason is then stored in `end` unless an earlier attempt has set one.
-asio::awaitable<std::optional<forward_end>>
-try_own(worker& w, caller_request& request, std::vector<target_id>& excluded, forward_end& end)
+asio::awaitable<std::optional<forward_result>>
+try_own(worker& w, caller_request& request, std::vector<target_id>& excluded, forward_result& end)
 {
     auto code = result_code::ok;
     auto taken = take_undoubted(w, request, excluded);
@@ -297,8 +298,9 @@
 }
 
 /// Makes one attempt at a target that is shared by all hosts.
-asio::awaitable<std::optional<forward_end>>
-try_shared(worker& w, caller_request& request, std::vector<target_id>& excluded, forward_end& end)
+asio::awaitable<std::optional<forward_result>> try_shared(worker& w, caller_request& request,
+                                                          std::vector<target_id>& excluded,
+                                                          forward_result& end)
 {
     auto refused = end;
     const auto taken = take_shared(w, request, excluded, refused);
@@ -319,7 +321,7 @@
     co_return tried;
 }
 
-bool may_retry(const caller_request& request, const forward_end& end)
+bool may_retry(const caller_request& request, const forward_result& end)
 {
     const bool can_resend = request.body_is_complete && end.caller_usable && !end.answered;
     const bool is_safe = end.what == outcome::not_run || request.repeatable;
@@ -329,7 +331,7 @@
 
 /// The combined result of all attempts so far: if an earlier attempt may have run, the outcome
 /// stays unknown even if a later one did not run.
-forward_end join_ends(const forward_end& before, const forward_end& latest)
+forward_result join_ends(const forward_result& before, const forward_result& latest)
 {
     auto end = latest;
     if (before.what == outcome::unknown && latest.what == outcome::not_run) {
@@ -341,14 +343,14 @@
 
 } // namespace
 
-asio::awaitable<forward_end> forward(worker& w, caller_request& request)
+asio::awaitable<forward_result> forward(worker& w, caller_request& request)
 {
     auto& budget = w.budgets[request.service];
     note_request(budget, w.context.budgets, w.snapshot->hosts);
     const auto most =
         request.rule != nullptr ? request.rule->max_attempts : max_attempts_without_rule;
     std::vector<target_id> excluded;
-    forward_end end{result_code::no_live_target, outcome::not_run, false, true, {}};
+    forward_result end{result_code::no_live_target, outcome::not_run, false, true, {}};
     for (unsigned tries = 0; tries < most; ++tries) {
         if (request.caller->gone) {
             end.code = result_code::caller_gone;
@@ -361,7 +363,7 @@
         const bool can_follow = tries + 1 < most && has_retry(budget);
         request.may_try_again = can_follow && request.repeatable && request.body_is_complete;
         // A conditional expression with two co_await destroys its result twice with g++ 12.
-        std::optional<forward_end> tried;
+        std::optional<forward_result> tried;
         if (are_targets_shared(w, request)) {
             tried = co_await try_shared(w, request, excluded, end);
         } else {
--- a/source/traffic/forward.h
+++ b/source/traffic/forward.h
@@ -48,7 +48,7 @@
 };
 
 /// Result of forwarding a request.
-struct forward_end {
+struct forward_result {
     result_code code = result_code::ok;
     outcome what = outcome::not_run;
     bool answered = false;     ///< at least part of the target's response was sent to the caller
@@ -60,6 +60,6 @@
 /// Selects a target, sends the request and streams the response to the caller. Retries within the
 /// deadline and the service's retry budget: a repeatable request after any failure before the
 /// response has begun, others only if the previous attempt provably did not run.
-asio::awaitable<forward_end> forward(worker& w, caller_request& request);
+asio::awaitable<forward_result> forward(worker& w, caller_request& request);
 
 } // namespace almondquay
--- a/source/traffic/own_answer.cpp
+++ b/source/traffic/own_answer.cpp
@@ -65,13 +65,13 @@
 }
 
 asio::awaitable<void> refuse(worker& w, caller_connection& connection, std::uint64_t turn,
-                             const forward_end& end, bool keep_alive)
+                             const forward_result& end, bool keep_alive)
 {
     auto refusal = make_refusal(w, end.code, end.what, end.retry_after);
     co_await write_small(w, connection, turn, refusal, keep_alive);
 }
 
-forward_end refused_end(result_code code)
+forward_result refused_end(result_code code)
 {
     return {code, outcome::not_run, false, true, std::nullopt};
 }
--- a/source/traffic/own_answer.h
+++ b/source/traffic/own_answer.h
@@ -16,10 +16,10 @@
 
 /// Sends an error response with the result code, the outcome and, for status 503, Retry-After.
 asio::awaitable<void> refuse(worker& w, caller_connection& connection, std::uint64_t turn,
-                             const forward_end& end, bool keep_alive);
+                             const forward_result& end, bool keep_alive);
 
 /// The result of a request that was refused before it ran.
-forward_end refused_end(result_code code);
+forward_result refused_end(result_code code);
 
 /// Sends the stored response of the first request with the same idempotency key.
 asio::awaitable<void> replay(worker& w, caller_connection& connection, std::uint64_t turn,
--- a/source/traffic/request_log.cpp
+++ b/source/traffic/request_log.cpp
@@ -75,8 +75,8 @@
                 {"handed_over", std::to_string(handed_over_share(load, now))}});
 }
 
-void log_attempt(worker& w, const caller_request& request, const slot& used, const forward_end& end,
-                 clock::duration took)
+void log_attempt(worker& w, const caller_request& request, const slot& used,
+                 const forward_result& end, clock::duration took)
 {
     if (end.code == result_code::ok || !take_line(w, line_kind::failure)) {
         return;
@@ -128,7 +128,7 @@
                 {"generation", std::to_string(w.snapshot ? w.snapshot->in_force.value : 0)}});
 }
 
-void log_end(worker& w, const caller_request& request, const forward_end& end)
+void log_end(worker& w, const caller_request& request, const forward_result& end)
 {
     const bool is_success = end.code == result_code::ok;
     if (is_success && !request.is_sampled) {
--- a/source/traffic/request_log.h
+++ b/source/traffic/request_log.h
@@ -12,8 +12,8 @@
 void log_placement(worker& w, const caller_request& request, const placement& chosen);
 
 /// Logs a failed attempt at a target.
-void log_attempt(worker& w, const caller_request& request, const slot& used, const forward_end& end,
-                 std::chrono::steady_clock::duration took);
+void log_attempt(worker& w, const caller_request& request, const slot& used,
+                 const forward_result& end, std::chrono::steady_clock::duration took);
 
 /// Logs a request that no target could serve in time, with the predicted times.
 void log_placement_refused(worker& w, const caller_request& request, const placement& chosen,
@@ -24,6 +24,6 @@
 void log_refused(worker& w, const std::string& request, result_code code);
 
 /// Logs the end of a request.
-void log_end(worker& w, const caller_request& request, const forward_end& end);
+void log_end(worker& w, const caller_request& request, const forward_result& end);
 
 } // namespace almondquay
