--- a/source/traffic/claimed.cpp
+++ b/source/traffic/claimed.cpp
@@ -67,24 +67,24 @@
     return {number, claim_end::ran, std::move(answer)};
 }
 
-asio::awaitable<claimed_end> run_granted(worker& w, caller_request& request, claim_number number)
+asio::awaitable<claimed_result> run_granted(worker& w, caller_request& request, claim_number number)
 {
     auto end = co_await forward(w, request);
     w.context.events.finish(finished(number, end));
-    co_return claimed_end{std::move(end), std::nullopt};
+    co_return claimed_result{std::move(end), std::nullopt};
 }
 
 } // namespace
 
-asio::awaitable<claimed_end> forward_claimed(worker& w, caller_request& request)
+asio::awaitable<claimed_result> forward_claimed(worker& w, caller_request& request)
 {
     const auto text = request.parser->get()[key_header];
     const auto key = parse_claim_key({text.data(), text.size()});
     if (!succeeded(key)) {
-        co_return claimed_end{refused_end(error_of(key).code), std::nullopt};
+        co_return claimed_result{refused_end(error_of(key).code), std::nullopt};
     }
     if (!request.body_is_complete) {
-        co_return claimed_end{refused_end(result_code::request_body_too_large), std::nullopt};
+        co_return claimed_result{refused_end(result_code::request_body_too_large), std::nullopt};
     }
     const claim_requested_event wanted{0, value_of(key), digest_of(request), request.deadline};
     const auto answer = co_await ask(w, wanted);
@@ -93,9 +93,10 @@
     }
     if (const auto* replay = std::get_if<claim_replayed>(&answer.verdict)) {
         const forward_result end{result_code::ok, outcome::ran, false, true, std::nullopt};
-        co_return claimed_end{end, replay->answer};
+        co_return claimed_result{end, replay->answer};
     }
-    co_return claimed_end{refused_end(std::get<claim_refused>(answer.verdict).code), std::nullopt};
+    co_return claimed_result{refused_end(std::get<claim_refused>(answer.verdict).code),
+                             std::nullopt};
 }
 
 } // namespace almondquay
--- a/source/traffic/session.cpp
+++ b/source/traffic/session.cpp
@@ -40,11 +40,11 @@
                                clock::now() - request.started);
 }
 
-asio::awaitable<claimed_end> run(worker& w, caller_request& request)
+asio::awaitable<claimed_result> run(worker& w, caller_request& request)
 {
     request.fingerprint = fingerprint_of(request);
     if (w.snapshot->quarantined.contains(request.fingerprint)) {
-        co_return claimed_end{refused_end(result_code::request_quarantined), std::nullopt};
+        co_return claimed_result{refused_end(result_code::request_quarantined), std::nullopt};
     }
     const bool needs_claim =
         w.context.profile->claims_unrepeatable && !request.repeatable && !request.is_spilled;
@@ -52,7 +52,7 @@
         co_return co_await forward_claimed(w, request);
     }
     auto end = co_await forward(w, request);
-    co_return claimed_end{std::move(end), std::nullopt};
+    co_return claimed_result{std::move(end), std::nullopt};
 }
 
 /// Processes a request after the first piece of its body has been read, and sends the response.
