--- a/source/traffic/claimed.cpp
+++ b/source/traffic/claimed.cpp
@@ -46,7 +46,7 @@
     }
 }
 
-forward_result refused_end(result_code code)
+forward_result refused_result(result_code code)
 {
     return {code, outcome_of(code), false, true, std::nullopt};
 }
@@ -81,10 +81,10 @@
     const auto text = request.parser->get()[key_header];
     const auto key = parse_claim_key({text.data(), text.size()});
     if (!succeeded(key)) {
-        co_return claimed_result{refused_end(error_of(key).code), std::nullopt};
+        co_return claimed_result{refused_result(error_of(key).code), std::nullopt};
     }
     if (!request.body_is_complete) {
-        co_return claimed_result{refused_end(result_code::request_body_too_large), std::nullopt};
+        co_return claimed_result{refused_result(result_code::request_body_too_large), std::nullopt};
     }
     const claim_requested_event wanted{0, value_of(key), digest_of(request), request.deadline};
     const auto answer = co_await ask(w, wanted);
@@ -95,7 +95,7 @@
         const forward_result end{result_code::ok, outcome::ran, false, true, std::nullopt};
         co_return claimed_result{end, replay->answer};
     }
-    co_return claimed_result{refused_end(std::get<claim_refused>(answer.verdict).code),
+    co_return claimed_result{refused_result(std::get<claim_refused>(answer.verdict).code),
                              std::nullopt};
 }
 
--- a/source/traffic/lookup.cpp
+++ b/source/traffic/lookup.cpp
@@ -60,7 +60,7 @@
     if (!found) {
         const bool is_unknown = is_ready(w) && w.context.profile->encode_lookup == nullptr;
         const auto code = is_unknown ? result_code::service_unknown : result_code::host_not_ready;
-        co_await refuse(w, connection, turn, refused_end(code), keep_alive);
+        co_await refuse(w, connection, turn, refused_result(code), keep_alive);
         co_return;
     }
     small_response answer;
--- a/source/traffic/own_answer.cpp
+++ b/source/traffic/own_answer.cpp
@@ -71,7 +71,7 @@
     co_await write_small(w, connection, turn, refusal, keep_alive);
 }
 
-forward_result refused_end(result_code code)
+forward_result refused_result(result_code code)
 {
     return {code, outcome::not_run, false, true, std::nullopt};
 }
--- a/source/traffic/own_answer.h
+++ b/source/traffic/own_answer.h
@@ -19,7 +19,7 @@
                              const forward_result& end, bool keep_alive);
 
 /// The result of a request that was refused before it ran.
-forward_result refused_end(result_code code);
+forward_result refused_result(result_code code);
 
 /// Sends the stored response of the first request with the same idempotency key.
 asio::awaitable<void> replay(worker& w, caller_connection& connection, std::uint64_t turn,
--- a/source/traffic/session.cpp
+++ b/source/traffic/session.cpp
@@ -44,7 +44,7 @@
 {
     request.fingerprint = fingerprint_of(request);
     if (w.snapshot->quarantined.contains(request.fingerprint)) {
-        co_return claimed_result{refused_end(result_code::request_quarantined), std::nullopt};
+        co_return claimed_result{refused_result(result_code::request_quarantined), std::nullopt};
     }
     const bool needs_claim =
         w.context.profile->claims_unrepeatable && !request.repeatable && !request.is_spilled;
@@ -89,7 +89,7 @@
 asio::awaitable<void> refuse_and_close(worker& w, caller_connection& connection, std::uint64_t turn,
                                        result_code code)
 {
-    co_await refuse(w, connection, turn, refused_end(code), false);
+    co_await refuse(w, connection, turn, refused_result(code), false);
     end_turn(connection);
 }
 
@@ -182,7 +182,7 @@
         count_refused(w, refused);
         log_refused(w, request_id_of(w, parser), refused);
         const bool keep_alive = parser.is_done() && parser.get().keep_alive();
-        co_await refuse(w, connection, turn, refused_end(refused), keep_alive);
+        co_await refuse(w, connection, turn, refused_result(refused), keep_alive);
         end_turn(connection);
         co_return keep_alive;
     }
