--- a/source/traffic/exchange.cpp
+++ b/source/traffic/exchange.cpp
@@ -170,7 +170,7 @@
 }
 
 /// The result of an attempt that failed before any part of a response was relayed.
-forward_result lost_end(const caller_request& request, result_code code)
+forward_result lost_result(const caller_request& request, result_code code)
 {
     return {code, outcome::unknown, false, request.body_is_complete || request.parser->is_done(),
             std::nullopt};
@@ -178,7 +178,7 @@
 
 forward_result unrun_end(const caller_request& request, result_code code)
 {
-    auto end = lost_end(request, code);
+    auto end = lost_result(request, code);
     end.what = outcome::not_run;
     return end;
 }
@@ -244,7 +244,7 @@
         }
     }
     if (problem) {
-        co_return lost_end(request, result_code::target_answer_lost);
+        co_return lost_result(request, result_code::target_answer_lost);
     }
     const bool is_due = co_await wait_for_turn(*request.caller, request.turn);
     if (!is_due) {
@@ -380,7 +380,7 @@
                                              upstream_connection& upstream, upstream_parser& parser)
 {
     if (is_foreign(w, request, parser)) {
-        co_return lost_end(request, result_code::target_answer_malformed);
+        co_return lost_result(request, result_code::target_answer_malformed);
     }
     const auto& answer = parser.get();
     if (const auto name = w.context.profile->load_header; !name.empty()) {
@@ -388,13 +388,13 @@
         note_report(w.loads[used.target], {report.data(), report.size()}, clock::now());
     }
     if (used.is_spill && answer[outcome_header] == name_of(outcome::unknown)) {
-        co_return lost_end(request, result_code::target_answer_lost);
+        co_return lost_result(request, result_code::target_answer_lost);
     }
     if (const auto unrun = unrun_code(w, used, parser); unrun != result_code::ok) {
         co_return unrun_end(request, unrun);
     }
     if (request.may_try_again && answer.result_int() >= first_server_error) {
-        co_return lost_end(request, result_code::target_failed);
+        co_return lost_result(request, result_code::target_failed);
     }
     upstream.stream.expires_at(request.deadline);
     co_return co_await pass_answer(w, request, used, upstream, parser);
@@ -423,7 +423,7 @@
         if (latest_answer != request.deadline) {
             request.doubted = used.target;
         }
-        co_return lost_end(request, code_of_failure(problem));
+        co_return lost_result(request, code_of_failure(problem));
     }
     const bool target_keeps = parser->keep_alive();
     upstream->idle_limit = idle_limit_of(*parser);
