--- a/source/traffic/exchange.cpp
+++ b/source/traffic/exchange.cpp
@@ -176,7 +176,7 @@
             std::nullopt};
 }
 
-forward_result unrun_end(const caller_request& request, result_code code)
+forward_result not_run_result(const caller_request& request, result_code code)
 {
     auto end = lost_result(request, code);
     end.what = outcome::not_run;
@@ -391,7 +391,7 @@
         co_return lost_result(request, result_code::target_answer_lost);
     }
     if (const auto unrun = unrun_code(w, used, parser); unrun != result_code::ok) {
-        co_return unrun_end(request, unrun);
+        co_return not_run_result(request, unrun);
     }
     if (request.may_try_again && answer.result_int() >= first_server_error) {
         co_return lost_result(request, result_code::target_failed);
