--- a/source/traffic/exchange.cpp
+++ b/source/traffic/exchange.cpp
@@ -267,7 +267,7 @@
 }
 
 /// Why the target did not run the request, or ok if it may have run.
-result_code unrun_code(const worker& w, const slot& used, const upstream_parser& parser)
+result_code not_run_code(const worker& w, const slot& used, const upstream_parser& parser)
 {
     const auto& answer = parser.get();
     const auto& profile = *w.context.profile;
@@ -390,7 +390,7 @@
     if (used.is_spill && answer[outcome_header] == name_of(outcome::unknown)) {
         co_return lost_result(request, result_code::target_answer_lost);
     }
-    if (const auto unrun = unrun_code(w, used, parser); unrun != result_code::ok) {
+    if (const auto unrun = not_run_code(w, used, parser); unrun != result_code::ok) {
         co_return not_run_result(request, unrun);
     }
     if (request.may_try_again && answer.result_int() >= first_server_error) {
