--- a/source/traffic/forward.cpp
+++ b/source/traffic/forward.cpp
@@ -331,7 +331,7 @@
 
 /// The combined result of all attempts so far: if an earlier attempt may have run, the outcome
 /// stays unknown even if a later one did not run.
-forward_result join_ends(const forward_result& before, const forward_result& latest)
+forward_result combine_results(const forward_result& before, const forward_result& latest)
 {
     auto end = latest;
     if (before.what == outcome::unknown && latest.what == outcome::not_run) {
@@ -372,7 +372,7 @@
         if (!tried) {
             break;
         }
-        end = join_ends(end, *tried);
+        end = combine_results(end, *tried);
         if (end.code == result_code::ok || !may_retry(request, *tried)) {
             break;
         }
