--- a/source/traffic/forward.cpp
+++ b/source/traffic/forward.cpp
@@ -77,14 +77,14 @@
     target_id target;
 };
 
-placement_wish make_wish(const worker& w, const caller_request& request,
-                         const std::vector<target_id>& excluded)
+placement_criteria make_wish(const worker& w, const caller_request& request,
+                             const std::vector<target_id>& excluded)
 {
     const auto now = clock::now();
     const auto ms = [](clock::duration d) {
         return std::chrono::duration_cast<std::chrono::milliseconds>(d);
     };
-    placement_wish wish;
+    placement_criteria wish;
     wish.object = request.object;
     wish.near_domain = w.context.domain;
     wish.near_region = w.snapshot->home;
--- a/source/traffic/placement.cpp
+++ b/source/traffic/placement.cpp
@@ -26,13 +26,13 @@
     double handed_over = 0;
 };
 
-bool is_home(const placement_wish& wish, const target_route& t)
+bool is_home(const placement_criteria& wish, const target_route& t)
 {
     return wish.homes == nullptr || wish.homes->empty() ||
            std::ranges::find(*wish.homes, t.in_region) != wish.homes->end();
 }
 
-bool is_excluded(const placement_wish& wish, const target_route& t)
+bool is_excluded(const placement_criteria& wish, const target_route& t)
 {
     return wish.excluded != nullptr &&
            std::ranges::find(*wish.excluded, t.id) != wish.excluded->end();
@@ -61,7 +61,7 @@
 }
 
 milliseconds predicted_wait(const target_route& t, const target_load* load,
-                            const placement_wish& wish, clock::time_point now)
+                            const placement_criteria& wish, clock::time_point now)
 {
     if (load == nullptr) {
         return milliseconds{0};
@@ -112,7 +112,7 @@
 }
 
 std::vector<candidate> find_candidates(const std::vector<target_route>& targets,
-                                       const load_table& loads, const placement_wish& wish,
+                                       const load_table& loads, const placement_criteria& wish,
                                        clock::time_point now, bool& any_usable)
 {
     std::vector<candidate> all;
@@ -138,7 +138,7 @@
     return all.empty() ? avoided : all;
 }
 
-bool is_refused(const placement& chosen, const placement_wish& wish, double draw)
+bool is_refused(const placement& chosen, const placement_criteria& wish, double draw)
 {
     const auto predicted = chosen.wait + wish.work;
     const bool is_first = wish.excluded == nullptr || wish.excluded->empty();
@@ -178,7 +178,7 @@
 }
 
 placement place(const std::vector<target_route>& targets, const load_table& loads,
-                const placement_wish& wish, clock::time_point now)
+                const placement_criteria& wish, clock::time_point now)
 {
     placement chosen;
     auto all = find_candidates(targets, loads, wish, now, chosen.any_usable);
@@ -199,7 +199,7 @@
 }
 
 placement place_or_refuse(const std::vector<target_route>& targets, const load_table& loads,
-                          placement_wish wish, double draw, clock::time_point now)
+                          placement_criteria wish, double draw, clock::time_point now)
 {
     auto chosen = place(targets, loads, wish, now);
     if (wish.stay_near && (chosen.target == nullptr || is_refused(chosen, wish, draw))) {
--- a/source/traffic/placement.h
+++ b/source/traffic/placement.h
@@ -35,7 +35,7 @@
 using load_table = std::map<target_id, target_load>;
 
 /// What the selection of a target depends on for one request.
-struct placement_wish {
+struct placement_criteria {
     std::optional<std::uint64_t> object; ///< hash of the object that the request accesses
     const std::vector<region_id>* homes = nullptr;
     region_id near_region;
@@ -80,7 +80,7 @@
 
 /// Chooses a target; does not count the request as sent.
 placement place(const std::vector<target_route>& targets, const load_table& loads,
-                const placement_wish& wish, std::chrono::steady_clock::time_point now);
+                const placement_criteria& wish, std::chrono::steady_clock::time_point now);
 
 /// Chooses a target or refuses the request immediately. `draw`, uniformly distributed between 0 and
 /// 1, decides which requests are refused.
@@ -88,7 +88,7 @@
 /// A request that prefers its own region but would be refused there may use other regions, so that
 /// a region with too few targets for its load can use free capacity elsewhere.
 placement place_or_refuse(const std::vector<target_route>& targets, const load_table& loads,
-                          placement_wish wish, double draw,
+                          placement_criteria wish, double draw,
                           std::chrono::steady_clock::time_point now);
 
 /// Whether a request prefers the targets of its region: its response is large, and none of them has
--- a/source/traffic/request_log.cpp
+++ b/source/traffic/request_log.cpp
@@ -98,7 +98,7 @@
 }
 
 void log_placement_refused(worker& w, const caller_request& request, const placement& chosen,
-                           const placement_wish& wish)
+                           const placement_criteria& wish)
 {
     if (!take_line(w, line_kind::failure)) {
         return;
--- a/unit_tests/traffic/placement_test.cpp
+++ b/unit_tests/traffic/placement_test.cpp
@@ -28,9 +28,9 @@
     return all;
 }
 
-placement_wish wish_for(std::uint64_t object)
+placement_criteria wish_for(std::uint64_t object)
 {
-    placement_wish wish;
+    placement_criteria wish;
     wish.object = object;
     wish.objective = milliseconds(400);
     wish.time_left = milliseconds(3'000);
