--- a/source/traffic/forward.cpp
+++ b/source/traffic/forward.cpp
@@ -84,22 +84,22 @@
     const auto ms = [](clock::duration d) {
         return std::chrono::duration_cast<std::chrono::milliseconds>(d);
     };
-    placement_criteria wish;
-    wish.object = request.object;
-    wish.near_domain = w.context.domain;
-    wish.near_region = w.snapshot->home;
-    wish.time_left = ms(request.deadline - now);
-    wish.excluded = &excluded;
+    placement_criteria criteria;
+    criteria.object = request.object;
+    criteria.near_domain = w.context.domain;
+    criteria.near_region = w.snapshot->home;
+    criteria.time_left = ms(request.deadline - now);
+    criteria.excluded = &excluded;
     if (const auto* rule = request.rule) {
-        wish.homes = &rule->homes;
-        wish.objective = rule->objective - ms(now - request.started);
+        criteria.homes = &rule->homes;
+        criteria.objective = rule->objective - ms(now - request.started);
         const auto known = w.routes.find(rule->id);
         if (known != w.routes.end()) {
-            wish.work = std::chrono::milliseconds(std::llround(known->second.work_ms));
-            wish.stay_near = stays_near(known->second.answer_bytes, request.is_shed_near);
+            criteria.work = std::chrono::milliseconds(std::llround(known->second.work_ms));
+            criteria.stay_near = stays_near(known->second.answer_bytes, request.is_shed_near);
         }
     }
-    return wish;
+    return criteria;
 }
 
 /// Chooses the target for the next attempt of a request if the targets of its service are shared by
@@ -113,17 +113,17 @@
         return std::nullopt;
     }
     const auto now = clock::now();
-    const auto wish = make_wish(w, request, excluded);
+    const auto criteria = make_wish(w, request, excluded);
     std::uniform_real_distribution<double> uniform(0, 1);
     const auto chosen =
-        place_or_refuse(found->second.targets, w.loads, wish, uniform(w.random), now);
+        place_or_refuse(found->second.targets, w.loads, criteria, uniform(w.random), now);
     if (chosen.target == nullptr) {
         refused.code = chosen.any_usable ? result_code::no_free_slot : result_code::no_live_target;
         refused.retry_after = shortest_retry_after;
         return std::nullopt;
     }
     if (chosen.is_refused) {
-        log_placement_refused(w, request, chosen, wish);
+        log_placement_refused(w, request, chosen, criteria);
         refused.code = result_code::overloaded;
         refused.retry_after = std::max(chosen.wait, shortest_retry_after);
         return std::nullopt;
--- a/source/traffic/placement.cpp
+++ b/source/traffic/placement.cpp
@@ -26,16 +26,16 @@
     double handed_over = 0;
 };
 
-bool is_home(const placement_criteria& wish, const target_route& t)
+bool is_home(const placement_criteria& criteria, const target_route& t)
 {
-    return wish.homes == nullptr || wish.homes->empty() ||
-           std::ranges::find(*wish.homes, t.in_region) != wish.homes->end();
+    return criteria.homes == nullptr || criteria.homes->empty() ||
+           std::ranges::find(*criteria.homes, t.in_region) != criteria.homes->end();
 }
 
-bool is_excluded(const placement_criteria& wish, const target_route& t)
+bool is_excluded(const placement_criteria& criteria, const target_route& t)
 {
-    return wish.excluded != nullptr &&
-           std::ranges::find(*wish.excluded, t.id) != wish.excluded->end();
+    return criteria.excluded != nullptr &&
+           std::ranges::find(*criteria.excluded, t.id) != criteria.excluded->end();
 }
 
 /// Whether the target is warm or this host may send it one more request within the limit for cold
@@ -61,7 +61,7 @@
 }
 
 milliseconds predicted_wait(const target_route& t, const target_load* load,
-                            const placement_criteria& wish, clock::time_point now)
+                            const placement_criteria& criteria, clock::time_point now)
 {
     if (load == nullptr) {
         return milliseconds{0};
@@ -73,7 +73,7 @@
     const auto ahead =
         (mean_queue(*load, now) > 1 ? known : expected_in_flight(*load, now)) + 1 - slots;
     const auto work =
-        load->service_ms > 0 ? load->service_ms : static_cast<double>(wish.work.count());
+        load->service_ms > 0 ? load->service_ms : static_cast<double>(criteria.work.count());
     const auto wait = std::max(0.0, ahead) * work / slots;
     return milliseconds(std::llround(wait));
 }
@@ -112,13 +112,13 @@
 }
 
 std::vector<candidate> find_candidates(const std::vector<target_route>& targets,
-                                       const load_table& loads, const placement_criteria& wish,
+                                       const load_table& loads, const placement_criteria& criteria,
                                        clock::time_point now, bool& any_usable)
 {
     std::vector<candidate> all;
     std::vector<candidate> avoided;
     for (const auto& t : targets) {
-        if (!t.usable || !is_home(wish, t) || is_excluded(wish, t)) {
+        if (!t.usable || !is_home(criteria, t) || is_excluded(criteria, t)) {
             continue;
         }
         any_usable = true;
@@ -128,22 +128,22 @@
         }
         candidate c;
         c.target = &t;
-        c.distance = wish.stay_near && t.in_region != wish.near_region ? 1 : 0;
-        c.wait = predicted_wait(t, load, wish, now);
+        c.distance = criteria.stay_near && t.in_region != criteria.near_region ? 1 : 0;
+        c.wait = predicted_wait(t, load, criteria, now);
         c.handed_over = load == nullptr ? 0 : handed_over_share(*load, now);
-        c.score =
-            wish.object ? rendezvous_score(*wish.object, t) : -static_cast<double>(c.wait.count());
+        c.score = criteria.object ? rendezvous_score(*criteria.object, t)
+                                  : -static_cast<double>(c.wait.count());
         (load != nullptr && now < load->avoid_until ? avoided : all).push_back(c);
     }
     return all.empty() ? avoided : all;
 }
 
-bool is_refused(const placement& chosen, const placement_criteria& wish, double draw)
+bool is_refused(const placement& chosen, const placement_criteria& criteria, double draw)
 {
-    const auto predicted = chosen.wait + wish.work;
-    const bool is_first = wish.excluded == nullptr || wish.excluded->empty();
-    return predicted > wish.time_left ||
-           (is_first && draw < refused_part(predicted, wish.objective));
+    const auto predicted = chosen.wait + criteria.work;
+    const bool is_first = criteria.excluded == nullptr || criteria.excluded->empty();
+    return predicted > criteria.time_left ||
+           (is_first && draw < refused_part(predicted, criteria.objective));
 }
 
 } // namespace
@@ -178,10 +178,10 @@
 }
 
 placement place(const std::vector<target_route>& targets, const load_table& loads,
-                const placement_criteria& wish, clock::time_point now)
+                const placement_criteria& criteria, clock::time_point now)
 {
     placement chosen;
-    auto all = find_candidates(targets, loads, wish, now, chosen.any_usable);
+    auto all = find_candidates(targets, loads, criteria, now, chosen.any_usable);
     if (all.empty()) {
         return chosen;
     }
@@ -191,7 +191,7 @@
                                   return a.distance != b.distance ? a.distance < b.distance
                                                                   : a.score > b.score;
                               });
-    const auto best = wish.object ? choose_for_object(all, considered, *wish.object) : 0;
+    const auto best = criteria.object ? choose_for_object(all, considered, *criteria.object) : 0;
     chosen.target = all[best].target;
     chosen.wait = all[best].wait;
     chosen.position = best;
@@ -199,14 +199,14 @@
 }
 
 placement place_or_refuse(const std::vector<target_route>& targets, const load_table& loads,
-                          placement_criteria wish, double draw, clock::time_point now)
+                          placement_criteria criteria, double draw, clock::time_point now)
 {
-    auto chosen = place(targets, loads, wish, now);
-    if (wish.stay_near && (chosen.target == nullptr || is_refused(chosen, wish, draw))) {
-        wish.stay_near = false;
-        chosen = place(targets, loads, wish, now);
+    auto chosen = place(targets, loads, criteria, now);
+    if (criteria.stay_near && (chosen.target == nullptr || is_refused(chosen, criteria, draw))) {
+        criteria.stay_near = false;
+        chosen = place(targets, loads, criteria, now);
     }
-    chosen.is_refused = chosen.target != nullptr && is_refused(chosen, wish, draw);
+    chosen.is_refused = chosen.target != nullptr && is_refused(chosen, criteria, draw);
     return chosen;
 }
 
--- a/source/traffic/placement.h
+++ b/source/traffic/placement.h
@@ -80,7 +80,7 @@
 
 /// Chooses a target; does not count the request as sent.
 placement place(const std::vector<target_route>& targets, const load_table& loads,
-                const placement_criteria& wish, std::chrono::steady_clock::time_point now);
+                const placement_criteria& criteria, std::chrono::steady_clock::time_point now);
 
 /// Chooses a target or refuses the request immediately. `draw`, uniformly distributed between 0 and
 /// 1, decides which requests are refused.
@@ -88,7 +88,7 @@
 /// A request that prefers its own region but would be refused there may use other regions, so that
 /// a region with too few targets for its load can use free capacity elsewhere.
 placement place_or_refuse(const std::vector<target_route>& targets, const load_table& loads,
-                          placement_criteria wish, double draw,
+                          placement_criteria criteria, double draw,
                           std::chrono::steady_clock::time_point now);
 
 /// Whether a request prefers the targets of its region: its response is large, and none of them has
--- a/source/traffic/request_log.cpp
+++ b/source/traffic/request_log.cpp
@@ -98,7 +98,7 @@
 }
 
 void log_placement_refused(worker& w, const caller_request& request, const placement& chosen,
-                           const placement_criteria& wish)
+                           const placement_criteria& criteria)
 {
     if (!take_line(w, line_kind::failure)) {
         return;
@@ -110,9 +110,9 @@
                 {"service", request.service},
                 {"target", chosen.target->id.value},
                 {"predicted_wait_ms", std::to_string(chosen.wait.count())},
-                {"work_ms", std::to_string(wish.work.count())},
-                {"objective_ms", std::to_string(wish.objective.count())},
-                {"left_ms", std::to_string(wish.time_left.count())},
+                {"work_ms", std::to_string(criteria.work.count())},
+                {"objective_ms", std::to_string(criteria.objective.count())},
+                {"left_ms", std::to_string(criteria.time_left.count())},
                 {"mean_queue", std::to_string(known.waiting_mean)},
                 {"report_age_ms", age_text(known, clock::now())}});
 }
--- a/source/traffic/request_log.h
+++ b/source/traffic/request_log.h
@@ -17,7 +17,7 @@
 
 /// Logs a request that no target could serve in time, with the predicted times.
 void log_placement_refused(worker& w, const caller_request& request, const placement& chosen,
-                           const placement_criteria& wish);
+                           const placement_criteria& criteria);
 
 /// Logs a request that was refused, or whose caller disconnected, before its route was known or its
 /// body was read.
--- a/unit_tests/traffic/placement_test.cpp
+++ b/unit_tests/traffic/placement_test.cpp
@@ -30,12 +30,12 @@
 
 placement_criteria wish_for(std::uint64_t object)
 {
-    placement_criteria wish;
-    wish.object = object;
-    wish.objective = milliseconds(400);
-    wish.time_left = milliseconds(3'000);
-    wish.work = milliseconds(200);
-    return wish;
+    placement_criteria criteria;
+    criteria.object = object;
+    criteria.objective = milliseconds(400);
+    criteria.time_left = milliseconds(3'000);
+    criteria.work = milliseconds(200);
+    return criteria;
 }
 
 constexpr clock::time_point start{seconds(100)};
@@ -140,13 +140,13 @@
         });
         const auto host = random() % hosts;
         const auto object = random() % objects;
-        auto wish = wish_for(how == strategy::by_object ? object : 0);
-        wish.work = milliseconds(static_cast<std::int64_t>(estimates.at(host).work_ms));
+        auto criteria = wish_for(how == strategy::by_object ? object : 0);
+        criteria.work = milliseconds(static_cast<std::int64_t>(estimates.at(host).work_ms));
         if (how != strategy::by_object) {
-            wish.object.reset();
+            criteria.object.reset();
         }
         auto& table = tables.at(host);
-        auto chosen = place(targets, table, wish, now);
+        auto chosen = place(targets, table, criteria, now);
         if (how == strategy::any) {
             chosen.target = &targets[random() % target_count];
             chosen.wait = milliseconds(0);
@@ -156,7 +156,7 @@
         std::uniform_real_distribution<double> uniform(0, 1);
         const bool is_shed =
             how == strategy::by_object && chosen.wait.count() > 0 &&
-            uniform(random) < refused_part(chosen.wait + wish.work, wish.objective);
+            uniform(random) < refused_part(chosen.wait + criteria.work, criteria.objective);
         const auto index = static_cast<std::size_t>(chosen.target - targets.data());
         const auto end = is_shed ? std::nullopt : run(models[index], object, now);
         if (!end) {
@@ -168,7 +168,7 @@
         const auto waiting = static_cast<std::uint32_t>(models[index].waiting(*end));
         answers.push_back({*end, host, index, took, waiting});
         if (is_counted) {
-            (took <= wish.objective ? result.in_time : result.late) += 1;
+            (took <= criteria.objective ? result.in_time : result.late) += 1;
         }
     }
     return result;
@@ -211,12 +211,12 @@
         std::vector<target_id> excluded;
         std::optional<clock::time_point> end;
         for (unsigned tries = 0; tries < attempts && !end; ++tries) {
-            auto wish = wish_for(object);
-            wish.near_region.value = "near";
-            wish.stay_near = stays_near(large, tries != 0);
-            wish.excluded = &excluded;
+            auto criteria = wish_for(object);
+            criteria.near_region.value = "near";
+            criteria.stay_near = stays_near(large, tries != 0);
+            criteria.excluded = &excluded;
             auto& table = tables.at(host);
-            const auto chosen = place_or_refuse(targets, table, wish, uniform(random), now);
+            const auto chosen = place_or_refuse(targets, table, criteria, uniform(random), now);
             if (chosen.target == nullptr || chosen.is_refused) {
                 break;
             }
@@ -320,10 +320,10 @@
         const std::vector<region_id> homes{region_id("odd")};
         const std::vector<target_id> failed{target_id("t1")};
         for (std::uint64_t object = 0; object < 50; ++object) {
-            auto wish = wish_for(object);
-            wish.homes = &homes;
-            wish.excluded = &failed;
-            CPPUNIT_ASSERT(place(targets, {}, wish, start).target->id == target_id("t3"));
+            auto criteria = wish_for(object);
+            criteria.homes = &homes;
+            criteria.excluded = &failed;
+            CPPUNIT_ASSERT(place(targets, {}, criteria, start).target->id == target_id("t3"));
         }
     }
 
@@ -331,10 +331,11 @@
     {
         const auto targets = make_targets(10);
         for (std::uint64_t object = 0; object < 50; ++object) {
-            auto wish = wish_for(object);
-            wish.near_region.value = "odd";
-            wish.stay_near = true;
-            CPPUNIT_ASSERT(place(targets, {}, wish, start).target->in_region == region_id("odd"));
+            auto criteria = wish_for(object);
+            criteria.near_region.value = "odd";
+            criteria.stay_near = true;
+            CPPUNIT_ASSERT(place(targets, {}, criteria, start).target->in_region ==
+                           region_id("odd"));
         }
     }
 
