--- a/source/traffic/forward.cpp
+++ b/source/traffic/forward.cpp
@@ -77,8 +77,8 @@
     target_id target;
 };
 
-placement_criteria make_wish(const worker& w, const caller_request& request,
-                             const std::vector<target_id>& excluded)
+placement_criteria make_criteria(const worker& w, const caller_request& request,
+                                 const std::vector<target_id>& excluded)
 {
     const auto now = clock::now();
     const auto ms = [](clock::duration d) {
@@ -113,7 +113,7 @@
         return std::nullopt;
     }
     const auto now = clock::now();
-    const auto criteria = make_wish(w, request, excluded);
+    const auto criteria = make_criteria(w, request, excluded);
     std::uniform_real_distribution<double> uniform(0, 1);
     const auto chosen =
         place_or_refuse(found->second.targets, w.loads, criteria, uniform(w.random), now);
