--- a/unit_tests/traffic/placement_test.cpp
+++ b/unit_tests/traffic/placement_test.cpp
@@ -28,7 +28,7 @@
     return all;
 }
 
-placement_criteria wish_for(std::uint64_t object)
+placement_criteria criteria_for(std::uint64_t object)
 {
     placement_criteria criteria;
     criteria.object = object;
@@ -140,7 +140,7 @@
         });
         const auto host = random() % hosts;
         const auto object = random() % objects;
-        auto criteria = wish_for(how == strategy::by_object ? object : 0);
+        auto criteria = criteria_for(how == strategy::by_object ? object : 0);
         criteria.work = milliseconds(static_cast<std::int64_t>(estimates.at(host).work_ms));
         if (how != strategy::by_object) {
             criteria.object.reset();
@@ -211,7 +211,7 @@
         std::vector<target_id> excluded;
         std::optional<clock::time_point> end;
         for (unsigned tries = 0; tries < attempts && !end; ++tries) {
-            auto criteria = wish_for(object);
+            auto criteria = criteria_for(object);
             criteria.near_region.value = "near";
             criteria.stay_near = stays_near(large, tries != 0);
             criteria.excluded = &excluded;
@@ -275,12 +275,12 @@
         auto targets = make_targets(32);
         std::vector<target_id> chosen;
         for (std::uint64_t object = 0; object < 200; ++object) {
-            chosen.push_back(place(targets, {}, wish_for(object), start).target->id);
+            chosen.push_back(place(targets, {}, criteria_for(object), start).target->id);
         }
         std::mt19937_64 random(3);
         std::ranges::shuffle(targets, random);
         for (std::uint64_t object = 0; object < 200; ++object) {
-            CPPUNIT_ASSERT(place(targets, {}, wish_for(object), start).target->id ==
+            CPPUNIT_ASSERT(place(targets, {}, criteria_for(object), start).target->id ==
                            chosen[object]);
         }
     }
@@ -290,11 +290,11 @@
         auto targets = make_targets(32);
         std::vector<target_id> before;
         for (std::uint64_t object = 0; object < 500; ++object) {
-            before.push_back(place(targets, {}, wish_for(object), start).target->id);
+            before.push_back(place(targets, {}, criteria_for(object), start).target->id);
         }
         targets[5].usable = false;
         for (std::uint64_t object = 0; object < 500; ++object) {
-            const auto after = place(targets, {}, wish_for(object), start).target->id;
+            const auto after = place(targets, {}, criteria_for(object), start).target->id;
             CPPUNIT_ASSERT(after != targets[5].id);
             CPPUNIT_ASSERT(after == before[object] || before[object] == targets[5].id);
         }
@@ -307,7 +307,8 @@
         std::map<target_id, int> counts;
         constexpr int objects = 20'000;
         for (std::uint64_t object = 0; object < objects; ++object) {
-            ++counts[place(targets, {}, wish_for(object * 0x9e3779b97f4a7c15U), start).target->id];
+            ++counts[place(targets, {}, criteria_for(object * 0x9e3779b97f4a7c15U), start)
+                         .target->id];
         }
         const double slots = 9 + 7 * 3;
         CPPUNIT_ASSERT_DOUBLES_EQUAL(9 / slots, counts[targets[0].id] / double{objects}, 0.02);
@@ -320,7 +321,7 @@
         const std::vector<region_id> homes{region_id("odd")};
         const std::vector<target_id> failed{target_id("t1")};
         for (std::uint64_t object = 0; object < 50; ++object) {
-            auto criteria = wish_for(object);
+            auto criteria = criteria_for(object);
             criteria.homes = &homes;
             criteria.excluded = &failed;
             CPPUNIT_ASSERT(place(targets, {}, criteria, start).target->id == target_id("t3"));
@@ -331,7 +332,7 @@
     {
         const auto targets = make_targets(10);
         for (std::uint64_t object = 0; object < 50; ++object) {
-            auto criteria = wish_for(object);
+            auto criteria = criteria_for(object);
             criteria.near_region.value = "odd";
             criteria.stay_near = true;
             CPPUNIT_ASSERT(place(targets, {}, criteria, start).target->in_region ==
@@ -357,11 +358,11 @@
         load_table loads;
         loads[targets[0].id].avoid_until = start + seconds(1);
         for (std::uint64_t object = 0; object < 20; ++object) {
-            CPPUNIT_ASSERT(place(targets, loads, wish_for(object), start).target->id ==
+            CPPUNIT_ASSERT(place(targets, loads, criteria_for(object), start).target->id ==
                            targets[1].id);
         }
         loads[targets[1].id].avoid_until = start + seconds(1);
-        CPPUNIT_ASSERT(place(targets, loads, wish_for(1), start).target != nullptr);
+        CPPUNIT_ASSERT(place(targets, loads, criteria_for(1), start).target != nullptr);
     }
 
     void a_cold_target_gets_no_more_than_its_share_in_a_second()
@@ -373,7 +374,7 @@
         int sent = 0;
         for (int i = 0; i < 100; ++i) {
             const auto now = start + i * milliseconds(10);
-            const auto chosen = place(targets, loads, wish_for(1), now);
+            const auto chosen = place(targets, loads, criteria_for(1), now);
             CPPUNIT_ASSERT(chosen.any_usable);
             if (chosen.target != nullptr) {
                 note_sent(loads[targets[0].id], targets[0], now);
@@ -395,9 +396,9 @@
         std::size_t kept = 0;
         std::size_t moved = 0;
         for (std::uint64_t object = 0; object < 4'000; ++object) {
-            const auto without = place(targets, {}, wish_for(object), start).target->id;
-            const auto first = place(targets, tables[0], wish_for(object), start).target->id;
-            const auto second = place(targets, tables[1], wish_for(object), start).target->id;
+            const auto without = place(targets, {}, criteria_for(object), start).target->id;
+            const auto first = place(targets, tables[0], criteria_for(object), start).target->id;
+            const auto second = place(targets, tables[1], criteria_for(object), start).target->id;
             CPPUNIT_ASSERT(first == second);
             if (without == targets[0].id) {
                 ++(first == without ? kept : moved);
