--- a/source/traffic/placement.cpp
+++ b/source/traffic/placement.cpp
@@ -143,7 +143,7 @@
     const auto predicted = chosen.wait + criteria.work;
     const bool is_first = criteria.excluded == nullptr || criteria.excluded->empty();
     return predicted > criteria.time_left ||
-           (is_first && draw < refused_part(predicted, criteria.objective));
+           (is_first && draw < refused_share(predicted, criteria.objective));
 }
 
 } // namespace
@@ -162,7 +162,7 @@
     return load.in_flight + load.others * std::exp2(-age / half_life);
 }
 
-double refused_part(milliseconds predicted, milliseconds objective)
+double refused_share(milliseconds predicted, milliseconds objective)
 {
     if (objective.count() <= 0) {
         return 0;
--- a/source/traffic/placement.h
+++ b/source/traffic/placement.h
@@ -105,7 +105,7 @@
 /// objects are then handed over, targets become cold. The refused share grows with the amount by
 /// which the predicted time exceeds the time left of the request's objective, so that all hosts
 /// together converge on a load that is served in time.
-double refused_part(std::chrono::milliseconds predicted, std::chrono::milliseconds objective);
+double refused_share(std::chrono::milliseconds predicted, std::chrono::milliseconds objective);
 
 /// The share of its objects that a target hands over to the next targets in their order.
 double handed_over_share(const target_load& load, std::chrono::steady_clock::time_point now);
--- a/unit_tests/traffic/placement_test.cpp
+++ b/unit_tests/traffic/placement_test.cpp
@@ -156,7 +156,7 @@
         std::uniform_real_distribution<double> uniform(0, 1);
         const bool is_shed =
             how == strategy::by_object && chosen.wait.count() > 0 &&
-            uniform(random) < refused_part(chosen.wait + criteria.work, criteria.objective);
+            uniform(random) < refused_share(chosen.wait + criteria.work, criteria.objective);
         const auto index = static_cast<std::size_t>(chosen.target - targets.data());
         const auto end = is_shed ? std::nullopt : run(models[index], object, now);
         if (!end) {
@@ -424,11 +424,11 @@
     void refusals_grow_with_the_predicted_excess()
     {
         const milliseconds objective{400};
-        CPPUNIT_ASSERT_EQUAL(0.0, refused_part(milliseconds(400), objective));
-        CPPUNIT_ASSERT(refused_part(milliseconds(500), objective) <
-                       refused_part(milliseconds(600), objective));
-        CPPUNIT_ASSERT(refused_part(seconds(60), objective) <= max_refused_part);
-        CPPUNIT_ASSERT_EQUAL(0.0, refused_part(seconds(1), milliseconds(-5)));
+        CPPUNIT_ASSERT_EQUAL(0.0, refused_share(milliseconds(400), objective));
+        CPPUNIT_ASSERT(refused_share(milliseconds(500), objective) <
+                       refused_share(milliseconds(600), objective));
+        CPPUNIT_ASSERT(refused_share(seconds(60), objective) <= max_refused_part);
+        CPPUNIT_ASSERT_EQUAL(0.0, refused_share(seconds(1), milliseconds(-5)));
     }
 
     void the_estimate_of_warm_work_withstands_slow_answers()
