--- a/source/traffic/placement.cpp
+++ b/source/traffic/placement.cpp
@@ -168,7 +168,7 @@
         return 0;
     }
     const auto excess = static_cast<double>((predicted - objective).count());
-    return std::clamp(excess / static_cast<double>(objective.count()), 0.0, max_refused_part);
+    return std::clamp(excess / static_cast<double>(objective.count()), 0.0, max_refused_share);
 }
 
 double handed_over_share(const target_load& load, clock::time_point now)
--- a/source/traffic/placement.h
+++ b/source/traffic/placement.h
@@ -70,7 +70,7 @@
 constexpr double queue_range = 6.0;
 constexpr double max_handed_over = 0.7;
 /// Some requests always pass, because only their responses show that a queue has drained.
-constexpr double max_refused_part = 0.9;
+constexpr double max_refused_share = 0.9;
 /// Weight of the newest load report in the moving average of the queue length.
 constexpr double report_step = 0.4;
 /// Half-life of the mean queue length while no load report arrives.
--- a/unit_tests/traffic/placement_test.cpp
+++ b/unit_tests/traffic/placement_test.cpp
@@ -427,7 +427,7 @@
         CPPUNIT_ASSERT_EQUAL(0.0, refused_share(milliseconds(400), objective));
         CPPUNIT_ASSERT(refused_share(milliseconds(500), objective) <
                        refused_share(milliseconds(600), objective));
-        CPPUNIT_ASSERT(refused_share(seconds(60), objective) <= max_refused_part);
+        CPPUNIT_ASSERT(refused_share(seconds(60), objective) <= max_refused_share);
         CPPUNIT_ASSERT_EQUAL(0.0, refused_share(seconds(1), milliseconds(-5)));
     }
 
