--- a/source/almondquayd/daemon.cpp
+++ b/source/almondquayd/daemon.cpp
@@ -270,7 +270,7 @@
                                     d.settings.domain,
                                     d.settings.secret,
                                     listeners_of(d.settings),
-                                    is_registry ? &platform::traffic_profile : &own_profile,
+                                    is_registry ? &platform::traffic_profile : &builtin_profile,
                                     d.settings.budgets,
                                     d.settings.traffic_threads,
                                     d.settings.max_connections};
--- a/source/traffic/traffic_server.h
+++ b/source/traffic/traffic_server.h
@@ -21,7 +21,7 @@
     failure_domain_id domain;
     shared_secret secret;
     std::vector<endpoint> listen;
-    const wire_profile* profile = &own_profile;
+    const wire_profile* profile = &builtin_profile;
     shared_budgets budgets;
     std::uint32_t threads = 1;
     std::uint32_t max_connections = 1; ///< for each thread
--- a/source/traffic/wire_profile.cpp
+++ b/source/traffic/wire_profile.cpp
@@ -4,7 +4,7 @@
 
 namespace almondquay {
 
-const wire_profile own_profile{
+const wire_profile builtin_profile{
     .lookup_path = lookup_path, .deadline_header = deadline_header, .tells_outcome = true};
 
 } // namespace almondquay
--- a/source/traffic/wire_profile.h
+++ b/source/traffic/wire_profile.h
@@ -30,6 +30,6 @@
 };
 
 /// The built-in interface, described in docs/CALLERS.md.
-extern const wire_profile own_profile;
+extern const wire_profile builtin_profile;
 
 } // namespace almondquay
--- a/source/traffic/worker.h
+++ b/source/traffic/worker.h
@@ -30,7 +30,7 @@
     failure_domain_id domain;
     shared_secret secret; ///< signs spilled requests between hosts
     std::vector<endpoint> listen;
-    const wire_profile* profile = &own_profile;
+    const wire_profile* profile = &builtin_profile;
     shared_budgets budgets;
     std::uint32_t max_connections = 0; ///< for each thread
     slot_pool* slots = nullptr;
