--- a/source/traffic/exchange.cpp
+++ b/source/traffic/exchange.cpp
@@ -158,7 +158,7 @@
         answer.chunked(request.parser->get().version() >= 11);
     }
     answer.version(11);
-    if (w.context.profile->tells_outcome) {
+    if (w.context.profile->reports_outcome) {
         answer.set(outcome_header, name_of(outcome::ran));
         answer.set(result_header, "0");
         answer.set(host_header, w.context.host.value);
--- a/source/traffic/own_answer.cpp
+++ b/source/traffic/own_answer.cpp
@@ -29,7 +29,7 @@
     answer.version(11);
     answer.result(status_of(code));
     answer.set(beast::http::field::content_type, "application/json");
-    if (w.context.profile->tells_outcome) {
+    if (w.context.profile->reports_outcome) {
         answer.set(outcome_header, name_of(what));
         answer.set(result_header, std::to_string(static_cast<int>(code)));
         answer.set(host_header, w.context.host.value);
--- a/source/traffic/wire_profile.cpp
+++ b/source/traffic/wire_profile.cpp
@@ -5,6 +5,6 @@
 namespace almondquay {
 
 const wire_profile builtin_profile{
-    .lookup_path = lookup_path, .deadline_header = deadline_header, .tells_outcome = true};
+    .lookup_path = lookup_path, .deadline_header = deadline_header, .reports_outcome = true};
 
 } // namespace almondquay
--- a/source/traffic/wire_profile.h
+++ b/source/traffic/wire_profile.h
@@ -20,7 +20,7 @@
     std::string_view expected_target_header{}; ///< a target with another id refuses the request
     std::string_view not_run_header{}; ///< on responses of targets that did not run the request
     std::string_view load_header{};    ///< a target's load report, "running,waiting,slots"
-    bool tells_outcome = false;      ///< responses carry the outcome, the result code and the host
+    bool reports_outcome = false;    ///< responses carry the outcome, the result code and the host
     bool claims_unrepeatable = true; ///< non-idempotent requests need a key and a claim
 
     /// Encodes the look-up response that lists `hosts`. If nullptr, the response of the built-in
