--- a/source/traffic/exchange.cpp
+++ b/source/traffic/exchange.cpp
@@ -251,7 +251,7 @@
         co_return forward_result{result_code::caller_gone, outcome::ran, false, false, {}};
     }
     forward_result end{result_code::ok, outcome::ran, true, true, std::nullopt};
-    if (!request.repeatable && parser.is_done() && w.context.profile->claims_unrepeatable) {
+    if (!request.repeatable && parser.is_done() && w.context.profile->claims_non_idempotent) {
         end.kept = kept_answer{parser.get().result_int(),
                                std::string(parser.get()[beast::http::field::content_type]),
                                piece.substr(0, size)};
--- a/source/traffic/session.cpp
+++ b/source/traffic/session.cpp
@@ -47,7 +47,7 @@
         co_return claimed_result{refused_result(result_code::request_quarantined), std::nullopt};
     }
     const bool needs_claim =
-        w.context.profile->claims_unrepeatable && !request.repeatable && !request.is_spilled;
+        w.context.profile->claims_non_idempotent && !request.repeatable && !request.is_spilled;
     if (needs_claim) {
         co_return co_await forward_claimed(w, request);
     }
--- a/source/traffic/wire_profile.h
+++ b/source/traffic/wire_profile.h
@@ -20,8 +20,8 @@
     std::string_view expected_target_header{}; ///< a target with another id refuses the request
     std::string_view not_run_header{}; ///< on responses of targets that did not run the request
     std::string_view load_header{};    ///< a target's load report, "running,waiting,slots"
-    bool reports_outcome = false;    ///< responses carry the outcome, the result code and the host
-    bool claims_unrepeatable = true; ///< non-idempotent requests need a key and a claim
+    bool reports_outcome = false; ///< responses carry the outcome, the result code and the host
+    bool claims_non_idempotent = true; ///< non-idempotent requests need a key and a claim
 
     /// Encodes the look-up response that lists `hosts`. If nullptr, the response of the built-in
     /// interface is used, which depends on the service.
