--- a/source/traffic/caller_connection.h
+++ b/source/traffic/caller_connection.h
@@ -13,7 +13,7 @@
 namespace almondquay {
 
 /// The part of an active request that its caller's connection refers to.
-struct running_work
+struct active_request
     : boost::intrusive::list_base_hook<boost::intrusive::link_mode<boost::intrusive::auto_unlink>> {
     bool repeatable = false; ///< idempotent, so it may be sent more than once
     connection_ptr upstream; ///< the connection of the current attempt
@@ -37,7 +37,7 @@
     /// No further request is accepted; the caller resends pipelined ones that follow.
     bool closing = false;
     bool gone = false; ///< closed by the caller or no longer usable
-    boost::intrusive::list<running_work, boost::intrusive::constant_time_size<false>> requests;
+    boost::intrusive::list<active_request, boost::intrusive::constant_time_size<false>> requests;
 
     bool is_busy() const { return answering != next_turn; }
 };
--- a/source/traffic/forward.h
+++ b/source/traffic/forward.h
@@ -18,7 +18,7 @@
 constexpr std::size_t body_piece_bytes = 64UL * 1024;
 
 /// A request whose header and first piece of body have been read.
-struct caller_request : running_work {
+struct caller_request : active_request {
     caller_connection* caller = nullptr;
     caller_parser* parser = nullptr;  ///< reads the rest of a body that is not buffered completely
     std::uint64_t turn = 0;           ///< sequence number among the connection's requests
