--- a/source/traffic/caller_connection.cpp
+++ b/source/traffic/caller_connection.cpp
@@ -10,7 +10,7 @@
 
 asio::awaitable<bool> wait_for_turn(caller_connection& connection, std::uint64_t turn)
 {
-    while (connection.answering != turn && !connection.gone) {
+    while (connection.current_turn != turn && !connection.gone) {
         co_await wait_for_change(connection);
     }
     co_return !connection.gone;
@@ -18,7 +18,7 @@
 
 void end_turn(caller_connection& connection)
 {
-    ++connection.answering;
+    ++connection.current_turn;
     connection.changed.cancel();
 }
 
--- a/source/traffic/caller_connection.h
+++ b/source/traffic/caller_connection.h
@@ -31,15 +31,15 @@
 
     beast::tcp_stream stream;
     beast::flat_buffer buffer{max_caller_buffer_bytes};
-    asio::steady_timer changed;  ///< cancelled to wake waiters whenever a field below changes
-    std::uint64_t next_turn = 0; ///< sequence number of the next request that is read
-    std::uint64_t answering = 0; ///< sequence number of the request whose response is sent next
+    asio::steady_timer changed;     ///< cancelled to wake waiters whenever a field below changes
+    std::uint64_t next_turn = 0;    ///< sequence number of the next request that is read
+    std::uint64_t current_turn = 0; ///< sequence number of the request whose response is sent next
     /// No further request is accepted; the caller resends pipelined ones that follow.
     bool closing = false;
     bool gone = false; ///< closed by the caller or no longer usable
     boost::intrusive::list<active_request, boost::intrusive::constant_time_size<false>> requests;
 
-    bool is_busy() const { return answering != next_turn; }
+    bool is_busy() const { return current_turn != next_turn; }
 };
 
 /// Waits until the response to request number `turn` may be sent. Returns false if the connection
--- a/source/traffic/caller_reader.cpp
+++ b/source/traffic/caller_reader.cpp
@@ -127,7 +127,7 @@
 
 asio::awaitable<bool> wait_for_request(worker& w, caller_connection& connection)
 {
-    while (connection.next_turn - connection.answering >= max_pipelined && !connection.gone) {
+    while (connection.next_turn - connection.current_turn >= max_pipelined && !connection.gone) {
         co_await wait_for_change(connection);
     }
     if (connection.closing || connection.gone) {
--- a/source/traffic/session.cpp
+++ b/source/traffic/session.cpp
@@ -108,7 +108,7 @@
         if (is_plain_close(problem) && problem != beast::error::timeout) {
             log_refused(w, request.id, result_code::caller_gone);
             note_gone(connection);
-            ++connection.answering;
+            ++connection.current_turn;
             co_return;
         }
         log_refused(w, request.id, code);
@@ -119,12 +119,12 @@
     if (must_be_alone) {
         const bool is_due = co_await wait_for_turn(connection, request.turn);
         if (!is_due) {
-            ++connection.answering;
+            ++connection.current_turn;
             co_return;
         }
     }
     if (must_be_alone && connection.closing) {
-        ++connection.answering; // Not read: the previous response closed the connection.
+        ++connection.current_turn; // Not read: the previous response closed the connection.
         connection.changed.cancel();
         co_return;
     }
