--- a/source/traffic/caller_connection.cpp
+++ b/source/traffic/caller_connection.cpp
@@ -27,7 +27,7 @@
     return connection.next_turn == turn + 1;
 }
 
-void note_gone(caller_connection& connection)
+void mark_gone(caller_connection& connection)
 {
     connection.gone = true;
     for (auto& request : connection.requests) {
--- a/source/traffic/caller_connection.h
+++ b/source/traffic/caller_connection.h
@@ -57,6 +57,6 @@
 bool is_last(const caller_connection& connection, std::uint64_t turn);
 
 /// Marks the connection as gone and closes the upstream connections of its repeatable requests.
-void note_gone(caller_connection& connection);
+void mark_gone(caller_connection& connection);
 
 } // namespace almondquay
--- a/source/traffic/caller_reader.cpp
+++ b/source/traffic/caller_reader.cpp
@@ -147,7 +147,7 @@
         connection.buffer.prepare(read_ahead_bytes), into(problem));
     connection.buffer.commit(got);
     if (problem && !connection.closing) {
-        note_gone(connection);
+        mark_gone(connection);
     }
     co_return !problem && !connection.closing;
 }
--- a/source/traffic/own_answer.cpp
+++ b/source/traffic/own_answer.cpp
@@ -60,7 +60,7 @@
     error_code problem;
     co_await beast::http::async_write(connection.stream, answer, into(problem));
     if (problem) {
-        note_gone(connection);
+        mark_gone(connection);
     }
 }
 
--- a/source/traffic/session.cpp
+++ b/source/traffic/session.cpp
@@ -69,7 +69,7 @@
         if (!end.caller_usable) {
             connection.closing = true;
             if (end.code != result_code::ok) {
-                note_gone(connection);
+                mark_gone(connection);
             }
         }
     } else {
@@ -107,7 +107,7 @@
         count(w, request, code);
         if (is_plain_close(problem) && problem != beast::error::timeout) {
             log_refused(w, request.id, result_code::caller_gone);
-            note_gone(connection);
+            mark_gone(connection);
             ++connection.current_turn;
             co_return;
         }
@@ -154,7 +154,7 @@
         co_return false;
     }
     if (problem && is_plain_close(problem)) {
-        note_gone(connection);
+        mark_gone(connection);
         co_return false;
     }
     const auto turn = connection.next_turn++;
