--- a/source/traffic/caller_reader.cpp
+++ b/source/traffic/caller_reader.cpp
@@ -94,7 +94,7 @@
     return result_code::request_malformed;
 }
 
-bool is_plain_close(const error_code& problem)
+bool is_disconnect(const error_code& problem)
 {
     return problem == beast::http::error::end_of_stream ||
            problem == beast::http::error::partial_message ||
--- a/source/traffic/caller_reader.h
+++ b/source/traffic/caller_reader.h
@@ -67,7 +67,7 @@
 
 /// Whether a read failed because the caller closed the connection, rather than because of a
 /// malformed request that can be answered with an error.
-bool is_plain_close(const error_code& problem);
+bool is_disconnect(const error_code& problem);
 
 /// The result code for a request whose header or body could not be read.
 result_code code_of_read_failure(const error_code& problem);
--- a/source/traffic/session.cpp
+++ b/source/traffic/session.cpp
@@ -105,7 +105,7 @@
     if (problem) {
         const auto code = code_of_read_failure(problem);
         count(w, request, code);
-        if (is_plain_close(problem) && problem != beast::error::timeout) {
+        if (is_disconnect(problem) && problem != beast::error::timeout) {
             log_refused(w, request.id, result_code::caller_gone);
             mark_gone(connection);
             ++connection.current_turn;
@@ -153,7 +153,7 @@
     if (connection.closing) {
         co_return false;
     }
-    if (problem && is_plain_close(problem)) {
+    if (problem && is_disconnect(problem)) {
         mark_gone(connection);
         co_return false;
     }
