--- a/source/traffic/caller_reader.cpp
+++ b/source/traffic/caller_reader.cpp
@@ -76,7 +76,7 @@
 
 } // namespace
 
-std::chrono::milliseconds time_for_body(const caller_request& request)
+std::chrono::milliseconds body_read_timeout(const caller_request& request)
 {
     const auto left = std::chrono::duration_cast<std::chrono::milliseconds>(
         request.deadline - std::chrono::steady_clock::now());
@@ -114,7 +114,7 @@
     auto& body = request.parser->get().body();
     body.data = request.body.data();
     body.size = request.body.size();
-    const read_limit limit(*request.caller, time_for_body(request));
+    const read_limit limit(*request.caller, body_read_timeout(request));
     co_await beast::http::async_read(request.caller->stream, request.caller->buffer,
                                      *request.parser, into(problem));
     limit.translate(problem);
--- a/source/traffic/caller_reader.h
+++ b/source/traffic/caller_reader.h
@@ -60,7 +60,7 @@
 
 /// Timeout for the next piece of a request's body: at most the time left until the request's
 /// deadline, so that a slow caller does not occupy a target's slot beyond it.
-std::chrono::milliseconds time_for_body(const caller_request& request);
+std::chrono::milliseconds body_read_timeout(const caller_request& request);
 
 /// Shuts down the sending side and waits until the caller closes the connection.
 asio::awaitable<void> linger(caller_connection& connection);
