--- a/source/traffic/beast_types.h
+++ b/source/traffic/beast_types.h
@@ -17,7 +17,7 @@
 
 /// Completion token that makes an asynchronous operation awaitable and stores its error in
 /// `problem`.
-inline auto into(error_code& problem)
+inline auto redirect_error_to(error_code& problem)
 {
     return asio::redirect_error(asio::use_awaitable, problem);
 }
--- a/source/traffic/caller_connection.cpp
+++ b/source/traffic/caller_connection.cpp
@@ -5,7 +5,7 @@
 asio::awaitable<void> wait_for_change(caller_connection& connection)
 {
     error_code ignored;
-    co_await connection.changed.async_wait(into(ignored));
+    co_await connection.changed.async_wait(redirect_error_to(ignored));
 }
 
 asio::awaitable<bool> wait_for_turn(caller_connection& connection, std::uint64_t turn)
--- a/source/traffic/caller_reader.cpp
+++ b/source/traffic/caller_reader.cpp
@@ -23,7 +23,7 @@
     const auto expected = parser.get()[beast::http::field::expect];
     if (beast::iequals(expected, "100-continue")) {
         beast::http::response<beast::http::empty_body> go_on(beast::http::status::continue_, 11);
-        co_await beast::http::async_write(connection.stream, go_on, into(problem));
+        co_await beast::http::async_write(connection.stream, go_on, redirect_error_to(problem));
     }
 }
 
@@ -116,7 +116,7 @@
     body.size = request.body.size();
     const read_limit limit(*request.caller, body_read_timeout(request));
     co_await beast::http::async_read(request.caller->stream, request.caller->buffer,
-                                     *request.parser, into(problem));
+                                     *request.parser, redirect_error_to(problem));
     limit.translate(problem);
     if (problem == beast::http::error::need_buffer) {
         problem = {};
@@ -144,7 +144,7 @@
     const idle_limit idle(connection, limit);
     connection.stream.expires_never();
     const auto got = co_await connection.stream.async_read_some(
-        connection.buffer.prepare(read_ahead_bytes), into(problem));
+        connection.buffer.prepare(read_ahead_bytes), redirect_error_to(problem));
     connection.buffer.commit(got);
     if (problem && !connection.closing) {
         mark_gone(connection);
@@ -160,7 +160,7 @@
     parser.body_limit(limits.body_bytes);
     const read_limit limit(connection, limits.header_time);
     co_await beast::http::async_read_header(connection.stream, connection.buffer, parser,
-                                            into(problem));
+                                            redirect_error_to(problem));
     limit.translate(problem);
 }
 
@@ -173,7 +173,7 @@
     while (!problem) {
         connection.buffer.clear();
         co_await connection.stream.async_read_some(connection.buffer.prepare(read_ahead_bytes),
-                                                   into(problem));
+                                                   redirect_error_to(problem));
     }
 }
 
--- a/source/traffic/claimed.cpp
+++ b/source/traffic/claimed.cpp
@@ -27,7 +27,7 @@
     w.context.events.want(wanted);
     while (!wait.verdict) {
         error_code ignored;
-        co_await wait.signal.async_wait(into(ignored));
+        co_await wait.signal.async_wait(redirect_error_to(ignored));
     }
     w.verdicts.erase(wanted.request);
     co_return *wait.verdict;
--- a/source/traffic/exchange.cpp
+++ b/source/traffic/exchange.cpp
@@ -98,7 +98,7 @@
     head.body().size = request.body.size();
     head.body().more = !request.body_is_complete;
     beast::http::request_serializer<beast::http::buffer_body> serializer(head);
-    co_await beast::http::async_write(upstream.stream, serializer, into(problem));
+    co_await beast::http::async_write(upstream.stream, serializer, redirect_error_to(problem));
     bool more = head.body().more;
     if (more) {
         piece.resize(body_piece_bytes);
@@ -109,7 +109,7 @@
         source.size = piece.size();
         const read_limit limit(*request.caller, body_read_timeout(request));
         co_await beast::http::async_read(request.caller->stream, request.caller->buffer,
-                                         *request.parser, into(problem));
+                                         *request.parser, redirect_error_to(problem));
         limit.translate(problem);
         if (problem && problem != beast::http::error::need_buffer) {
             co_return;
@@ -119,7 +119,7 @@
         head.body().data = piece.data();
         head.body().size = piece.size() - source.size;
         head.body().more = more;
-        co_await beast::http::async_write(upstream.stream, serializer, into(problem));
+        co_await beast::http::async_write(upstream.stream, serializer, redirect_error_to(problem));
     }
     if (problem == beast::http::error::need_buffer) {
         problem = {};
@@ -133,7 +133,8 @@
     auto& body = parser.get().body();
     body.data = piece.data();
     body.size = piece.size();
-    co_await beast::http::async_read(upstream.stream, upstream.buffer, parser, into(problem));
+    co_await beast::http::async_read(upstream.stream, upstream.buffer, parser,
+                                     redirect_error_to(problem));
     if (problem == beast::http::error::need_buffer) {
         problem = {};
     }
@@ -200,7 +201,7 @@
         body.size = size;
         body.more = !parser.is_done();
         caller.expires_after(caller_write_timeout);
-        co_await beast::http::async_write(caller, serializer, into(problem));
+        co_await beast::http::async_write(caller, serializer, redirect_error_to(problem));
         if (problem && problem != beast::http::error::need_buffer) {
             end.code = result_code::caller_gone;
             end.caller_usable = false;
@@ -236,7 +237,8 @@
         auto& body = parser.get().body();
         body.data = piece.data() + size;
         body.size = piece.size() - size;
-        co_await beast::http::async_read(upstream.stream, upstream.buffer, parser, into(problem));
+        co_await beast::http::async_read(upstream.stream, upstream.buffer, parser,
+                                         redirect_error_to(problem));
         size = piece.size() - body.size;
         if (problem == beast::http::error::need_buffer) {
             problem = {};
@@ -346,7 +348,7 @@
         parser->body_limit(boost::none);
         parser->skip(request.parser->get().method() == beast::http::verb::head);
         co_await beast::http::async_read_header(upstream.stream, upstream.buffer, *parser,
-                                                into(problem));
+                                                redirect_error_to(problem));
         if (problem || !is_interim(*parser)) {
             co_return;
         }
--- a/source/traffic/forward.cpp
+++ b/source/traffic/forward.cpp
@@ -60,7 +60,7 @@
     }
     if (!waiter.granted) {
         error_code ignored;
-        co_await signal->async_wait(into(ignored));
+        co_await signal->async_wait(redirect_error_to(ignored));
         w.context.slots->cancel(request.service, waiter);
     }
     co_return std::move(waiter.granted);
@@ -178,7 +178,7 @@
 {
     error_code problem;
     asio::steady_timer delay(w.io, crash_check_delay);
-    co_await delay.async_wait(into(problem));
+    co_await delay.async_wait(redirect_error_to(problem));
     const auto upstream = co_await connect(w.upstreams, address, clock::time_point::max(), problem);
     if (!problem) {
         keep(w.upstreams, address, upstream);
--- a/source/traffic/own_answer.cpp
+++ b/source/traffic/own_answer.cpp
@@ -58,7 +58,7 @@
     answer.prepare_payload();
     connection.stream.expires_after(write_timeout);
     error_code problem;
-    co_await beast::http::async_write(connection.stream, answer, into(problem));
+    co_await beast::http::async_write(connection.stream, answer, redirect_error_to(problem));
     if (problem) {
         mark_gone(connection);
     }
--- a/source/traffic/spill.cpp
+++ b/source/traffic/spill.cpp
@@ -41,7 +41,7 @@
     asio::steady_timer timer(
         w.io, p.start + std::chrono::duration_cast<std::chrono::steady_clock::duration>(needed));
     error_code ignored;
-    co_await timer.async_wait(into(ignored));
+    co_await timer.async_wait(redirect_error_to(ignored));
 }
 
 } // namespace almondquay
--- a/source/traffic/upstream_pool.cpp
+++ b/source/traffic/upstream_pool.cpp
@@ -81,7 +81,7 @@
     const auto now = std::chrono::steady_clock::now();
     connection->stream.expires_at(std::min(deadline, now + connect_timeout));
     const tcp::endpoint address(asio::ip::make_address(to.address), to.port);
-    co_await connection->stream.async_connect(address, into(problem));
+    co_await connection->stream.async_connect(address, redirect_error_to(problem));
     if (!problem) {
         set_options(connection->stream.socket());
     }
--- a/source/traffic/worker.cpp
+++ b/source/traffic/worker.cpp
@@ -58,7 +58,7 @@
     while (acceptor.is_open()) {
         error_code problem;
         tcp::socket socket(w.io);
-        co_await acceptor.async_accept(socket, into(problem));
+        co_await acceptor.async_accept(socket, redirect_error_to(problem));
         if (problem == asio::error::operation_aborted) {
             co_return;
         }
@@ -68,7 +68,7 @@
                 drop_idle(w.upstreams, to);
             }
             asio::steady_timer pause(w.io, accept_pause);
-            co_await pause.async_wait(into(problem));
+            co_await pause.async_wait(redirect_error_to(problem));
             continue;
         }
         if (w.callers.size() >= w.context.max_connections) {
