--- a/source/traffic/exchange.cpp
+++ b/source/traffic/exchange.cpp
@@ -432,7 +432,7 @@
     auto end = co_await judge_answer(w, request, used, *upstream, *parser);
     request.upstream.reset();
     if (target_keeps && parser->is_done()) {
-        keep(w.upstreams, used.address, upstream);
+        put_idle(w.upstreams, used.address, upstream);
     }
     co_return end;
 }
--- a/source/traffic/forward.cpp
+++ b/source/traffic/forward.cpp
@@ -181,7 +181,7 @@
     co_await delay.async_wait(redirect_error_to(problem));
     const auto upstream = co_await connect(w.upstreams, address, clock::time_point::max(), problem);
     if (!problem) {
-        keep(w.upstreams, address, upstream);
+        put_idle(w.upstreams, address, upstream);
         co_return;
     }
     w.suspects.insert(evidence.fingerprint);
--- a/source/traffic/upstream_pool.cpp
+++ b/source/traffic/upstream_pool.cpp
@@ -88,7 +88,7 @@
     co_return connection;
 }
 
-void keep(upstream_pool& pool, const endpoint& to, const connection_ptr& connection)
+void put_idle(upstream_pool& pool, const endpoint& to, const connection_ptr& connection)
 {
     auto& connections = pool.idle[to];
     if (connections.size() >= max_idle_connections || connection->buffer.size() != 0) {
--- a/source/traffic/upstream_pool.h
+++ b/source/traffic/upstream_pool.h
@@ -62,7 +62,7 @@
                                         error_code& problem);
 
 /// Returns a connection to the pool after its response was read completely.
-void keep(upstream_pool& pool, const endpoint& to, const connection_ptr& connection);
+void put_idle(upstream_pool& pool, const endpoint& to, const connection_ptr& connection);
 
 /// Closes all idle connections to a target, for example after one of them has failed.
 void drop_idle(upstream_pool& pool, const endpoint& to);
