--- a/source/traffic/lookup.cpp
+++ b/source/traffic/lookup.cpp
@@ -63,7 +63,7 @@
         co_await refuse(w, connection, turn, refused_result(code), keep_alive);
         co_return;
     }
-    small_response answer;
+    local_response answer;
     answer.version(11);
     answer.result(beast::http::status::ok);
     answer.set(beast::http::field::content_type, "application/json");
@@ -74,7 +74,7 @@
 asio::awaitable<void> answer_readiness(worker& w, caller_connection& connection, std::uint64_t turn,
                                        const caller_parser& parser)
 {
-    small_response answer;
+    local_response answer;
     answer.version(11);
     const bool takes_callers = is_ready(w) && !w.snapshot->leaving && !w.stopping;
     answer.result(takes_callers ? beast::http::status::ok
--- a/source/traffic/own_answer.cpp
+++ b/source/traffic/own_answer.cpp
@@ -22,10 +22,10 @@
     return {text.data(), static_cast<std::size_t>(size)};
 }
 
-small_response make_refusal(const worker& w, result_code code, outcome what,
+local_response make_refusal(const worker& w, result_code code, outcome what,
                             std::chrono::milliseconds retry_after)
 {
-    small_response answer;
+    local_response answer;
     answer.version(11);
     answer.result(status_of(code));
     answer.set(beast::http::field::content_type, "application/json");
@@ -45,7 +45,7 @@
 } // namespace
 
 asio::awaitable<void> write_small(worker& w, caller_connection& connection, std::uint64_t turn,
-                                  small_response& answer, bool keep_alive)
+                                  local_response& answer, bool keep_alive)
 {
     const bool is_due = co_await wait_for_turn(connection, turn);
     if (!is_due) {
@@ -79,7 +79,7 @@
 asio::awaitable<void> replay(worker& w, caller_connection& connection, std::uint64_t turn,
                              claim_answer kept, bool keep_alive)
 {
-    small_response answer;
+    local_response answer;
     answer.version(11);
     answer.result(kept.status);
     answer.set(beast::http::field::content_type, kept.content_type);
