--- a/source/traffic/lookup.cpp
+++ b/source/traffic/lookup.cpp
@@ -68,7 +68,7 @@
     answer.result(beast::http::status::ok);
     answer.set(beast::http::field::content_type, "application/json");
     answer.body() = *found;
-    co_await write_small(w, connection, turn, answer, keep_alive);
+    co_await send_local_response(w, connection, turn, answer, keep_alive);
 }
 
 asio::awaitable<void> answer_readiness(worker& w, caller_connection& connection, std::uint64_t turn,
@@ -79,7 +79,7 @@
     const bool takes_callers = is_ready(w) && !w.snapshot->leaving && !w.stopping;
     answer.result(takes_callers ? beast::http::status::ok
                                 : beast::http::status::service_unavailable);
-    co_await write_small(w, connection, turn, answer, parser.get().keep_alive());
+    co_await send_local_response(w, connection, turn, answer, parser.get().keep_alive());
 }
 
 } // namespace almondquay
--- a/source/traffic/own_answer.cpp
+++ b/source/traffic/own_answer.cpp
@@ -44,8 +44,9 @@
 
 } // namespace
 
-asio::awaitable<void> write_small(worker& w, caller_connection& connection, std::uint64_t turn,
-                                  local_response& answer, bool keep_alive)
+asio::awaitable<void> send_local_response(worker& w, caller_connection& connection,
+                                          std::uint64_t turn, local_response& answer,
+                                          bool keep_alive)
 {
     const bool is_due = co_await wait_for_turn(connection, turn);
     if (!is_due) {
@@ -68,7 +69,7 @@
                              const forward_result& end, bool keep_alive)
 {
     auto refusal = make_refusal(w, end.code, end.what, end.retry_after);
-    co_await write_small(w, connection, turn, refusal, keep_alive);
+    co_await send_local_response(w, connection, turn, refusal, keep_alive);
 }
 
 forward_result refused_result(result_code code)
@@ -88,7 +89,7 @@
     answer.set(replayed_header, "yes");
     answer.set(host_header, w.context.host.value);
     answer.body() = std::move(kept.body);
-    co_await write_small(w, connection, turn, answer, keep_alive);
+    co_await send_local_response(w, connection, turn, answer, keep_alive);
 }
 
 } // namespace almondquay
--- a/source/traffic/own_answer.h
+++ b/source/traffic/own_answer.h
@@ -11,8 +11,9 @@
 using local_response = beast::http::response<beast::http::string_body>;
 
 /// Sends a response when all earlier requests on the connection have been answered.
-asio::awaitable<void> write_small(worker& w, caller_connection& connection, std::uint64_t turn,
-                                  local_response& answer, bool keep_alive);
+asio::awaitable<void> send_local_response(worker& w, caller_connection& connection,
+                                          std::uint64_t turn, local_response& answer,
+                                          bool keep_alive);
 
 /// Sends an error response with the result code, the outcome and, for status 503, Retry-After.
 asio::awaitable<void> refuse(worker& w, caller_connection& connection, std::uint64_t turn,
