--- a/source/traffic/exchange.cpp
+++ b/source/traffic/exchange.cpp
@@ -254,9 +254,9 @@
     }
     forward_result end{result_code::ok, outcome::ran, true, true, std::nullopt};
     if (!request.repeatable && parser.is_done() && w.context.profile->claims_non_idempotent) {
-        end.kept = kept_answer{parser.get().result_int(),
-                               std::string(parser.get()[beast::http::field::content_type]),
-                               piece.substr(0, size)};
+        end.kept = stored_response{parser.get().result_int(),
+                                   std::string(parser.get()[beast::http::field::content_type]),
+                                   piece.substr(0, size)};
     }
     if (request.rule != nullptr) {
         const auto bytes = parser.content_length().value_or(size);
--- a/source/traffic/forward.h
+++ b/source/traffic/forward.h
@@ -41,7 +41,7 @@
 };
 
 /// A completely relayed response, stored for later requests with the same idempotency key.
-struct kept_answer {
+struct stored_response {
     unsigned status = 0;
     std::string content_type;
     std::string body;
@@ -53,7 +53,7 @@
     outcome what = outcome::not_run;
     bool answered = false;     ///< at least part of the target's response was sent to the caller
     bool caller_usable = true; ///< the caller's connection can carry another request
-    std::optional<kept_answer> kept;          ///< only for non-idempotent requests
+    std::optional<stored_response> kept;      ///< only for non-idempotent requests
     std::chrono::milliseconds retry_after{0}; ///< delay before a refused request may be resent
 };
 
