--- a/source/traffic/forward.cpp
+++ b/source/traffic/forward.cpp
@@ -96,7 +96,7 @@
         const auto known = w.routes.find(rule->id);
         if (known != w.routes.end()) {
             criteria.work = std::chrono::milliseconds(std::llround(known->second.work_ms));
-            criteria.stay_near = stays_near(known->second.answer_bytes, request.is_shed_near);
+            criteria.stay_near = stays_near(known->second.answer_bytes, request.was_shed);
         }
     }
     return criteria;
@@ -316,7 +316,7 @@
     auto tried = co_await attempt(w, request, *taken);
     note_result(w, request, *taken, tried, sent);
     log_attempt(w, request, *taken, tried, clock::now() - sent);
-    request.is_shed_near = request.is_shed_near || tried.code == result_code::target_shed;
+    request.was_shed = request.was_shed || tried.code == result_code::target_shed;
     excluded.push_back(taken->target);
     co_return tried;
 }
