--- a/source/traffic/exchange.cpp
+++ b/source/traffic/exchange.cpp
@@ -322,7 +322,7 @@
 clock::time_point answer_deadline(const worker& w, const caller_request& request,
                                   const upstream_connection& used)
 {
-    if (request.rule != nullptr || !request.may_try_again || request.doubted) {
+    if (request.rule != nullptr || !request.may_try_again || request.abandoned_target) {
         return request.deadline;
     }
     const auto now = clock::now();
@@ -423,7 +423,7 @@
     if (problem) {
         request.upstream.reset();
         if (latest_answer != request.deadline) {
-            request.doubted = used.target;
+            request.abandoned_target = used.target;
         }
         co_return lost_result(request, code_of_failure(problem));
     }
--- a/source/traffic/forward.cpp
+++ b/source/traffic/forward.cpp
@@ -262,10 +262,10 @@
 std::optional<slot> take_undoubted(worker& w, const caller_request& request,
                                    std::vector<target_id> excluded)
 {
-    if (!request.doubted) {
+    if (!request.abandoned_target) {
         return std::nullopt;
     }
-    excluded.push_back(*request.doubted);
+    excluded.push_back(*request.abandoned_target);
     return w.context.slots->try_take(request.service, excluded, !request.is_spilled);
 }
 
--- a/source/traffic/forward.h
+++ b/source/traffic/forward.h
@@ -35,8 +35,9 @@
     bool is_sampled = false;    ///< logged even if it succeeds
     bool was_shed = false;      ///< rejected for lack of capacity, so other regions may be used
     bool may_try_again = false; ///< a retry is possible, so an error response need not be relayed
-    std::optional<target_id> doubted; ///< of an attempt abandoned because its response was late
-    std::string body;                 ///< the first piece of the body
+    std::optional<target_id>
+        abandoned_target; ///< of an attempt abandoned because its response was late
+    std::string body;     ///< the first piece of the body
     bool body_is_complete = false;
 };
 
