--- a/source/traffic/exchange.cpp
+++ b/source/traffic/exchange.cpp
@@ -303,8 +303,8 @@
 /// Whether a response that has not arrived after `part` of the time most likely never will. A
 /// reused connection may have died before the request was sent. A new one may die while waiting,
 /// which can be noticed only if the service's responses usually arrive much sooner.
-bool is_doubted(const worker& w, const caller_request& request, const upstream_connection& used,
-                clock::duration part)
+bool is_likely_lost(const worker& w, const caller_request& request, const upstream_connection& used,
+                    clock::duration part)
 {
     if (used.reused) {
         return true;
@@ -327,7 +327,7 @@
     }
     const auto now = clock::now();
     const auto part = (request.deadline - now) / doubted_connection_part;
-    return is_doubted(w, request, used, part) ? now + part : request.deadline;
+    return is_likely_lost(w, request, used, part) ? now + part : request.deadline;
 }
 
 bool is_interim(const upstream_parser& parser)
