--- a/source/traffic/exchange.cpp
+++ b/source/traffic/exchange.cpp
@@ -19,7 +19,7 @@
 constexpr std::chrono::seconds caller_write_timeout{30};
 /// If the connection may be dead, a repeatable request waits for its response for the remaining
 /// time divided by this before it is retried on another connection.
-constexpr int doubted_connection_part = 3;
+constexpr int early_retry_divisor = 3;
 /// A new connection may be dead if its response takes longer than the service's slowest recent
 /// response time multiplied by this.
 constexpr double doubted_after_slowest = 3;
@@ -326,7 +326,7 @@
         return request.deadline;
     }
     const auto now = clock::now();
-    const auto part = (request.deadline - now) / doubted_connection_part;
+    const auto part = (request.deadline - now) / early_retry_divisor;
     return is_likely_lost(w, request, used, part) ? now + part : request.deadline;
 }
 
