--- a/source/traffic/exchange.cpp
+++ b/source/traffic/exchange.cpp
@@ -22,7 +22,7 @@
 constexpr int early_retry_divisor = 3;
 /// A new connection may be dead if its response takes longer than the service's slowest recent
 /// response time multiplied by this.
-constexpr double doubted_after_slowest = 3;
+constexpr double slowest_response_factor = 3;
 /// Maximum number of interim (1xx) responses before the final one; with more of them the response
 /// counts as malformed.
 constexpr unsigned max_interim_answers = 16;
@@ -311,7 +311,7 @@
     }
     const auto slowest = w.slowest_answers.find(request.service);
     return slowest != w.slowest_answers.end() &&
-           std::chrono::duration<double, std::milli>(slowest->second * doubted_after_slowest) <
+           std::chrono::duration<double, std::milli>(slowest->second * slowest_response_factor) <
                part;
 }
 
