--- a/source/traffic/forward.cpp
+++ b/source/traffic/forward.cpp
@@ -259,8 +259,8 @@
 
 /// After an abandoned attempt, takes a free slot of another target: the previous target may still
 /// be processing the request, or its connections may fail again.
-std::optional<slot> take_undoubted(worker& w, const caller_request& request,
-                                   std::vector<target_id> excluded)
+std::optional<slot> take_slot_elsewhere(worker& w, const caller_request& request,
+                                        std::vector<target_id> excluded)
 {
     if (!request.abandoned_target) {
         return std::nullopt;
@@ -275,7 +275,7 @@
 try_own(worker& w, caller_request& request, std::vector<target_id>& excluded, forward_result& end)
 {
     auto code = result_code::ok;
-    auto taken = take_undoubted(w, request, excluded);
+    auto taken = take_slot_elsewhere(w, request, excluded);
     if (!taken) {
         taken = co_await wait_for_slot(w, request, excluded, code);
     }
