--- a/source/traffic/exchange.cpp
+++ b/source/traffic/exchange.cpp
@@ -309,8 +309,8 @@
     if (used.reused) {
         return true;
     }
-    const auto slowest = w.slowest_answers.find(request.service);
-    return slowest != w.slowest_answers.end() &&
+    const auto slowest = w.slowest_response_ms.find(request.service);
+    return slowest != w.slowest_response_ms.end() &&
            std::chrono::duration<double, std::milli>(slowest->second * slowest_response_factor) <
                part;
 }
--- a/source/traffic/worker.cpp
+++ b/source/traffic/worker.cpp
@@ -125,7 +125,7 @@
 void note_answer(worker& w, const std::string& service, std::chrono::steady_clock::duration took)
 {
     const std::chrono::duration<double, std::milli> now = took;
-    auto& slowest = w.slowest_answers[service];
+    auto& slowest = w.slowest_response_ms[service];
     slowest = std::max(slowest * slowest_decay, now.count());
 }
 
--- a/source/traffic/worker.h
+++ b/source/traffic/worker.h
@@ -71,7 +71,8 @@
     std::map<std::string, retry_budget, std::less<>> budgets;
     load_table loads; ///< of targets that all hosts share
     std::map<route_id, route_estimate> routes;
-    std::map<std::string, double, std::less<>> slowest_answers; ///< ms, by service; see note_answer
+    std::map<std::string, double, std::less<>>
+        slowest_response_ms; ///< ms, by service; see note_answer
     std::mt19937_64 random;
     std::chrono::steady_clock::time_point log_window_start{};
     unsigned failure_lines = 0; ///< in this window
