--- a/source/traffic/exchange.cpp
+++ b/source/traffic/exchange.cpp
@@ -226,8 +226,9 @@
 
 /// Relays the response. The first piece of the body, which is all of it for most responses, is read
 /// before anything is sent to the caller.
-asio::awaitable<forward_result> pass_answer(worker& w, caller_request& request, const slot& used,
-                                            upstream_connection& upstream, upstream_parser& parser)
+asio::awaitable<forward_result> relay_response(worker& w, caller_request& request, const slot& used,
+                                               upstream_connection& upstream,
+                                               upstream_parser& parser)
 {
     const auto length = parser.content_length().value_or(body_piece_bytes);
     std::string piece(std::min<std::uint64_t>(length, body_piece_bytes), '\0');
@@ -399,7 +400,7 @@
         co_return lost_result(request, result_code::target_failed);
     }
     upstream.stream.expires_at(request.deadline);
-    co_return co_await pass_answer(w, request, used, upstream, parser);
+    co_return co_await relay_response(w, request, used, upstream, parser);
 }
 
 } // namespace
