--- a/source/traffic/exchange.cpp
+++ b/source/traffic/exchange.cpp
@@ -187,9 +187,9 @@
 /// Sends the response header and `size` bytes of its body, then streams the rest. If the target's
 /// body is truncated, the caller's connection is closed without a proper end of the body, so that
 /// the caller does not take it for complete.
-asio::awaitable<void> write_answer(caller_request& request, upstream_connection& upstream,
-                                   upstream_parser& parser, std::string& piece, std::size_t size,
-                                   pacing rate, worker& w, forward_result& end)
+asio::awaitable<void> stream_response(caller_request& request, upstream_connection& upstream,
+                                      upstream_parser& parser, std::string& piece, std::size_t size,
+                                      pacing rate, worker& w, forward_result& end)
 {
     beast::http::response_serializer<beast::http::buffer_body> serializer(parser.get());
     auto& caller = request.caller->stream;
@@ -264,8 +264,8 @@
         note_answer_size(w.routes[request.rule->id], static_cast<double>(bytes));
     }
     prepare_answer(w, request, parser);
-    co_await write_answer(request, upstream, parser, piece, size, pacing{used.bytes_per_second}, w,
-                          end);
+    co_await stream_response(request, upstream, parser, piece, size, pacing{used.bytes_per_second},
+                             w, end);
     co_return end;
 }
 
