--- a/source/traffic/exchange.cpp
+++ b/source/traffic/exchange.cpp
@@ -150,7 +150,7 @@
     return !wants_close || !is_last(*request.caller, request.turn);
 }
 
-void prepare_answer(const worker& w, caller_request& request, upstream_parser& parser)
+void prepare_response(const worker& w, caller_request& request, upstream_parser& parser)
 {
     auto& answer = parser.get();
     const bool has_no_length = parser.need_eof() && !answer.chunked();
@@ -263,7 +263,7 @@
         const auto bytes = parser.content_length().value_or(size);
         note_answer_size(w.routes[request.rule->id], static_cast<double>(bytes));
     }
-    prepare_answer(w, request, parser);
+    prepare_response(w, request, parser);
     co_await stream_response(request, upstream, parser, piece, size, pacing{used.bytes_per_second},
                              w, end);
     co_return end;
