--- a/source/traffic/exchange.cpp
+++ b/source/traffic/exchange.cpp
@@ -379,8 +379,9 @@
     return std::chrono::seconds(seconds);
 }
 
-asio::awaitable<forward_result> judge_answer(worker& w, caller_request& request, const slot& used,
-                                             upstream_connection& upstream, upstream_parser& parser)
+asio::awaitable<forward_result> handle_response(worker& w, caller_request& request,
+                                                const slot& used, upstream_connection& upstream,
+                                                upstream_parser& parser)
 {
     if (is_foreign(w, request, parser)) {
         co_return lost_result(request, result_code::target_answer_malformed);
@@ -430,7 +431,7 @@
     }
     const bool target_keeps = parser->keep_alive();
     upstream->idle_limit = idle_limit_of(*parser);
-    auto end = co_await judge_answer(w, request, used, *upstream, *parser);
+    auto end = co_await handle_response(w, request, used, *upstream, *parser);
     request.upstream.reset();
     if (target_keeps && parser->is_done()) {
         put_idle(w.upstreams, used.address, upstream);
