--- a/source/traffic/exchange.cpp
+++ b/source/traffic/exchange.cpp
@@ -338,10 +338,10 @@
 }
 
 /// Reads the header of the final response; a few interim responses before it are dropped.
-asio::awaitable<void> read_answer_header(const caller_request& request,
-                                         upstream_connection& upstream,
-                                         std::optional<upstream_parser>& parser,
-                                         error_code& problem)
+asio::awaitable<void> read_response_header(const caller_request& request,
+                                           upstream_connection& upstream,
+                                           std::optional<upstream_parser>& parser,
+                                           error_code& problem)
 {
     for (unsigned interim = 0; interim <= max_interim_answers; ++interim) {
         parser.emplace();
@@ -416,7 +416,7 @@
     co_await send_request(w, used, *upstream, request, problem);
     std::optional<upstream_parser> parser;
     if (!problem) {
-        co_await read_answer_header(request, *upstream, parser, problem);
+        co_await read_response_header(request, *upstream, parser, problem);
     }
     if (request.caller->gone && request.repeatable) {
         request.upstream.reset();
