--- a/source/traffic/exchange.cpp
+++ b/source/traffic/exchange.cpp
@@ -320,8 +320,8 @@
 /// connections that leave data unacknowledged are closed anyway, and abandoning running work would
 /// cost the caller more. Only one attempt of a request is abandoned early, because a request that
 /// makes targets hang occupies a slot of each of them.
-clock::time_point answer_deadline(const worker& w, const caller_request& request,
-                                  const upstream_connection& used)
+clock::time_point response_deadline(const worker& w, const caller_request& request,
+                                    const upstream_connection& used)
 {
     if (request.rule != nullptr || !request.may_try_again || request.abandoned_target) {
         return request.deadline;
@@ -411,7 +411,7 @@
 {
     error_code problem;
     request.upstream = upstream;
-    const auto latest_answer = answer_deadline(w, request, *upstream);
+    const auto latest_answer = response_deadline(w, request, *upstream);
     upstream->stream.expires_at(latest_answer);
     co_await send_request(w, used, *upstream, request, problem);
     std::optional<upstream_parser> parser;
