--- a/source/traffic/exchange.cpp
+++ b/source/traffic/exchange.cpp
@@ -25,7 +25,7 @@
 constexpr double slowest_response_factor = 3;
 /// Maximum number of interim (1xx) responses before the final one; with more of them the response
 /// counts as malformed.
-constexpr unsigned max_interim_answers = 16;
+constexpr unsigned max_interim_responses = 16;
 constexpr unsigned informational = 100;
 constexpr unsigned first_final_status = 200;
 constexpr unsigned first_server_error = 500;
@@ -343,7 +343,7 @@
                                            std::optional<upstream_parser>& parser,
                                            error_code& problem)
 {
-    for (unsigned interim = 0; interim <= max_interim_answers; ++interim) {
+    for (unsigned interim = 0; interim <= max_interim_responses; ++interim) {
         parser.emplace();
         parser->header_limit(max_answer_header_bytes);
         parser->body_limit(boost::none);
