--- a/source/traffic/placement.cpp
+++ b/source/traffic/placement.cpp
@@ -212,7 +212,7 @@
 
 bool stays_near(double answer_bytes, bool was_shed)
 {
-    return answer_bytes > large_answer_bytes && !was_shed;
+    return answer_bytes > large_response_bytes && !was_shed;
 }
 
 void note_report(target_load& load, std::string_view report, clock::time_point now)
--- a/source/traffic/placement.h
+++ b/source/traffic/placement.h
@@ -58,7 +58,7 @@
 
 /// Transferring a response larger than this between regions costs more than serving it from a cold
 /// target in the same region.
-constexpr double large_answer_bytes = 20'000;
+constexpr double large_response_bytes = 20'000;
 /// Ratio of the time per request on a cold target to that on a warm target.
 constexpr int cold_work_factor = 3;
 /// Number of targets at the head of an object's order that are considered.
