--- a/source/traffic/forward.cpp
+++ b/source/traffic/forward.cpp
@@ -96,7 +96,7 @@
         const auto known = w.routes.find(rule->id);
         if (known != w.routes.end()) {
             criteria.work = std::chrono::milliseconds(std::llround(known->second.work_ms));
-            criteria.stay_near = stays_near(known->second.answer_bytes, request.was_shed);
+            criteria.stay_near = stays_near(known->second.response_bytes, request.was_shed);
         }
     }
     return criteria;
--- a/source/traffic/placement.cpp
+++ b/source/traffic/placement.cpp
@@ -210,9 +210,9 @@
     return chosen;
 }
 
-bool stays_near(double answer_bytes, bool was_shed)
+bool stays_near(double response_bytes, bool was_shed)
 {
-    return answer_bytes > large_response_bytes && !was_shed;
+    return response_bytes > large_response_bytes && !was_shed;
 }
 
 void note_report(target_load& load, std::string_view report, clock::time_point now)
--- a/source/traffic/placement.h
+++ b/source/traffic/placement.h
@@ -93,7 +93,7 @@
 
 /// Whether a request prefers the targets of its region: its response is large, and none of them has
 /// rejected it for lack of capacity yet.
-bool stays_near(double answer_bytes, bool was_shed);
+bool stays_near(double response_bytes, bool was_shed);
 
 /// Weighted rendezvous hash of an object and a target; the target with the highest score comes
 /// first in the object's order.
--- a/source/traffic/worker.cpp
+++ b/source/traffic/worker.cpp
@@ -139,7 +139,7 @@
 
 void note_answer_size(route_estimate& estimate, double bytes)
 {
-    estimate.answer_bytes += (bytes - estimate.answer_bytes) * mean_step;
+    estimate.response_bytes += (bytes - estimate.response_bytes) * mean_step;
 }
 
 void take_verdict(worker& w, const claim_verdict_effect& verdict)
--- a/source/traffic/worker.h
+++ b/source/traffic/worker.h
@@ -51,8 +51,8 @@
 
 /// Observed processing time and response size of a route's requests.
 struct route_estimate {
-    double work_ms = 100;    ///< time per request on a warm target without queueing
-    double answer_bytes = 0; ///< moving average
+    double work_ms = 100;      ///< time per request on a warm target without queueing
+    double response_bytes = 0; ///< moving average
 };
 
 /// The state of a traffic thread. Accessed only by the thread that runs `io`.
