--- a/source/traffic/forward.cpp
+++ b/source/traffic/forward.cpp
@@ -230,7 +230,7 @@
     const auto sent = clock::now();
     const auto end = co_await exchange(w, request, used, upstream);
     if (end.what == outcome::ran) {
-        note_answer(w, request.service, clock::now() - sent);
+        note_response_time(w, request.service, clock::now() - sent);
     }
     if (used.is_spill) {
         co_return end; // The receiving host tracks the health of its own targets.
--- a/source/traffic/worker.cpp
+++ b/source/traffic/worker.cpp
@@ -122,7 +122,8 @@
     }
 }
 
-void note_answer(worker& w, const std::string& service, std::chrono::steady_clock::duration took)
+void note_response_time(worker& w, const std::string& service,
+                        std::chrono::steady_clock::duration took)
 {
     const std::chrono::duration<double, std::milli> now = took;
     auto& slowest = w.slowest_response_ms[service];
--- a/source/traffic/worker.h
+++ b/source/traffic/worker.h
@@ -97,7 +97,8 @@
 void take_verdict(worker& w, const claim_verdict_effect& verdict);
 
 /// Updates the slowest recent response time of a service, which decays with each response.
-void note_answer(worker& w, const std::string& service, std::chrono::steady_clock::duration took);
+void note_response_time(worker& w, const std::string& service,
+                        std::chrono::steady_clock::duration took);
 
 /// Update a route's estimates with the time or response size of one request.
 void note_work(route_estimate& estimate, std::chrono::steady_clock::duration took);
