--- a/source/traffic/forward.cpp
+++ b/source/traffic/forward.cpp
@@ -148,7 +148,7 @@
     const auto now = clock::now();
     if (end.what == outcome::ran) {
         load.failures = 0;
-        note_answer_time(load, slots_of(w, used), now - sent);
+        note_service_time(load, slots_of(w, used), now - sent);
         if (request.rule != nullptr && end.code == result_code::ok && load.waiting == 0) {
             note_work(w.routes[request.rule->id], now - sent);
         }
--- a/source/traffic/placement.cpp
+++ b/source/traffic/placement.cpp
@@ -236,7 +236,7 @@
     load.reported = now;
 }
 
-void note_answer_time(target_load& load, const std::uint32_t slots, clock::duration took)
+void note_service_time(target_load& load, const std::uint32_t slots, clock::duration took)
 {
     // A request that was queued waited until the requests before it had passed through the slots.
     const std::chrono::duration<double, std::milli> whole = took;
--- a/source/traffic/placement.h
+++ b/source/traffic/placement.h
@@ -120,8 +120,8 @@
 
 /// Updates the mean time per request from a response time. The load report of the same response
 /// must have been noted before.
-void note_answer_time(target_load& load, const std::uint32_t slots,
-                      std::chrono::steady_clock::duration took);
+void note_service_time(target_load& load, const std::uint32_t slots,
+                       std::chrono::steady_clock::duration took);
 
 /// Counts a request as sent.
 void note_sent(target_load& load, const target_route& target,
--- a/unit_tests/traffic/placement_test.cpp
+++ b/unit_tests/traffic/placement_test.cpp
@@ -132,7 +132,7 @@
             auto& load = tables.at(a.host)[targets[a.target].id];
             --load.in_flight;
             note_report(load, "3," + std::to_string(a.waiting) + ",3", a.at);
-            note_answer_time(load, 3, a.took);
+            note_service_time(load, 3, a.took);
             if (a.waiting == 0) {
                 note_work(estimates.at(a.host), a.took);
             }
@@ -202,7 +202,7 @@
                 auto& load = tables.at(a.host)[targets[a.target].id];
                 --load.in_flight;
                 note_report(load, "3," + std::to_string(a.waiting) + ",3", a.at);
-                note_answer_time(load, 3, a.took);
+                note_service_time(load, 3, a.took);
             }
             return a.at <= now;
         });
