--- a/source/traffic/exchange.cpp
+++ b/source/traffic/exchange.cpp
@@ -261,7 +261,7 @@
     }
     if (request.rule != nullptr) {
         const auto bytes = parser.content_length().value_or(size);
-        note_answer_size(w.routes[request.rule->id], static_cast<double>(bytes));
+        note_response_size(w.routes[request.rule->id], static_cast<double>(bytes));
     }
     prepare_response(w, request, parser);
     co_await stream_response(request, upstream, parser, piece, size, pacing{used.bytes_per_second},
--- a/source/traffic/worker.cpp
+++ b/source/traffic/worker.cpp
@@ -138,7 +138,7 @@
     estimate.work_ms += now.count() > before ? step * work_quantile : -step * (1 - work_quantile);
 }
 
-void note_answer_size(route_estimate& estimate, double bytes)
+void note_response_size(route_estimate& estimate, double bytes)
 {
     estimate.response_bytes += (bytes - estimate.response_bytes) * mean_step;
 }
--- a/source/traffic/worker.h
+++ b/source/traffic/worker.h
@@ -102,7 +102,7 @@
 
 /// Update a route's estimates with the time or response size of one request.
 void note_work(route_estimate& estimate, std::chrono::steady_clock::duration took);
-void note_answer_size(route_estimate& estimate, double bytes);
+void note_response_size(route_estimate& estimate, double bytes);
 
 /// Reports failures, and the first success after failures, to the control thread.
 void report_target(worker& w, const target_id& target, target_evidence evidence);
