--- a/source/traffic/exchange.cpp
+++ b/source/traffic/exchange.cpp
@@ -358,7 +358,8 @@
 }
 
 /// Whether the response carries the ID of another request.
-bool is_foreign(const worker& w, const caller_request& request, const upstream_parser& parser)
+bool belongs_to_other_request(const worker& w, const caller_request& request,
+                              const upstream_parser& parser)
 {
     const auto name = w.context.profile->request_id_header;
     return !name.empty() && !request.id.empty() && parser.get()[name] != request.id;
@@ -383,7 +384,7 @@
                                                 const slot& used, upstream_connection& upstream,
                                                 upstream_parser& parser)
 {
-    if (is_foreign(w, request, parser)) {
+    if (belongs_to_other_request(w, request, parser)) {
         co_return lost_result(request, result_code::target_answer_malformed);
     }
     const auto& answer = parser.get();
