--- a/source/traffic/forward.cpp
+++ b/source/traffic/forward.cpp
@@ -190,8 +190,8 @@
 
 /// If the connection closed without a response, tests whether this request crashed the target. A
 /// suspected request that is served is cleared.
-void note_suspicion(worker& w, const caller_request& request, const slot& used,
-                    const forward_result& end)
+void check_for_crash(worker& w, const caller_request& request, const slot& used,
+                     const forward_result& end)
 {
     if (end.code == result_code::target_answer_lost) {
         asio::co_spawn(w.io,
@@ -235,7 +235,7 @@
     if (used.is_spill) {
         co_return end; // The receiving host tracks the health of its own targets.
     }
-    note_suspicion(w, request, used, end);
+    check_for_crash(w, request, used, end);
     const bool is_target_failure = end.code == result_code::target_answer_lost ||
                                    end.code == result_code::target_answer_malformed ||
                                    end.code == result_code::deadline_passed;
