--- a/source/traffic/forward.cpp
+++ b/source/traffic/forward.cpp
@@ -271,8 +271,9 @@
 
 /// Makes one attempt within this host's share of slots. Returns nothing if no slot is available;
 /// the reason is then stored in `end` unless an earlier attempt has set one.
-asio::awaitable<std::optional<forward_result>>
-try_own(worker& w, caller_request& request, std::vector<target_id>& excluded, forward_result& end)
+asio::awaitable<std::optional<forward_result>> try_with_slot(worker& w, caller_request& request,
+                                                             std::vector<target_id>& excluded,
+                                                             forward_result& end)
 {
     auto code = result_code::ok;
     auto taken = take_slot_elsewhere(w, request, excluded);
@@ -367,7 +368,7 @@
         if (are_targets_shared(w, request)) {
             tried = co_await try_shared(w, request, excluded, end);
         } else {
-            tried = co_await try_own(w, request, excluded, end);
+            tried = co_await try_with_slot(w, request, excluded, end);
         }
         if (!tried) {
             break;
