--- a/source/traffic/claimed.cpp
+++ b/source/traffic/claimed.cpp
@@ -19,7 +19,7 @@
 
 /// Requests a claim on the key and waits for the verdict. The control thread answers every claim
 /// request within its own timeout.
-asio::awaitable<claim_verdict_effect> ask(worker& w, claim_requested_event wanted)
+asio::awaitable<claim_verdict_effect> request_claim(worker& w, claim_requested_event wanted)
 {
     verdict_wait wait(w.io);
     wanted.request = w.context.first_request + w.requests++;
@@ -87,7 +87,7 @@
         co_return claimed_result{refused_result(result_code::request_body_too_large), std::nullopt};
     }
     const claim_requested_event wanted{0, value_of(key), digest_of(request), request.deadline};
-    const auto answer = co_await ask(w, wanted);
+    const auto answer = co_await request_claim(w, wanted);
     if (std::holds_alternative<claim_granted>(answer.verdict)) {
         co_return co_await run_granted(w, request, answer.number);
     }
