--- a/source/almondquayd/interpreter.cpp
+++ b/source/almondquayd/interpreter.cpp
@@ -129,7 +129,7 @@
 
 void run(interpreter& i, const claim_verdict_effect& e)
 {
-    i.traffic->give_verdict(e);
+    i.traffic->deliver_verdict(e);
 }
 
 void run(interpreter& i, const send_gossip_effect& e)
--- a/source/traffic/traffic_server.cpp
+++ b/source/traffic/traffic_server.cpp
@@ -88,7 +88,7 @@
     }
 }
 
-void traffic_server::give_verdict(const claim_verdict_effect& verdict)
+void traffic_server::deliver_verdict(const claim_verdict_effect& verdict)
 {
     auto& w = state_->workers[verdict.request / requests_per_thread];
     asio::post(w->state.io, [w = &w->state, verdict] { take_verdict(*w, verdict); });
--- a/source/traffic/traffic_server.h
+++ b/source/traffic/traffic_server.h
@@ -41,7 +41,7 @@
     void publish(const snapshot_ptr& snapshot);
 
     /// Delivers a claim's verdict to the request that waits for it. Called from the control thread.
-    void give_verdict(const claim_verdict_effect& verdict);
+    void deliver_verdict(const claim_verdict_effect& verdict);
 
     /// Stops accepting requests; `on_drained` is called from any thread after the last one has
     /// ended.
