--- a/source/traffic/worker.cpp
+++ b/source/traffic/worker.cpp
@@ -40,7 +40,7 @@
 
 /// Refuses a caller beyond the connection limit with a response that is short enough to fit into
 /// any socket buffer.
-void turn_away(tcp::socket& socket)
+void reject_connection(tcp::socket& socket)
 {
     const auto code = result_code::too_many_connections;
     const auto body = refusal_body(code, outcome::not_run);
@@ -72,7 +72,7 @@
             continue;
         }
         if (w.callers.size() >= w.context.max_connections) {
-            turn_away(socket);
+            reject_connection(socket);
             continue;
         }
         asio::co_spawn(w.io, serve(w, std::move(socket)), asio::detached);
