--- a/source/traffic/placement.cpp
+++ b/source/traffic/placement.cpp
@@ -86,7 +86,7 @@
 
 /// A hash between 0 and 1 of an object and a target. The target hands the object over while its
 /// handed-over share is above this.
-double turn_of(std::uint64_t object, const target_route& t)
+double handover_threshold(std::uint64_t object, const target_route& t)
 {
     constexpr std::uint64_t seed =
         0x9e3779b97f4a7c15U; // Differs from the seed of `rendezvous_score`.
@@ -101,7 +101,7 @@
 {
     std::size_t least = 0;
     for (std::size_t i = 0; i < considered; ++i) {
-        if (turn_of(object, *all[i].target) >= all[i].handed_over) {
+        if (handover_threshold(object, *all[i].target) >= all[i].handed_over) {
             return i;
         }
         if (all[i].handed_over < all[least].handed_over) {
