--- a/source/traffic/slot_pool.cpp
+++ b/source/traffic/slot_pool.cpp
@@ -31,8 +31,8 @@
 
 /// Takes a slot of the free target that uses the smallest fraction of its share. The target moves
 /// to the back of the list, so that equally used targets take turns.
-std::optional<slot> take_kind(const std::string& service, service_entry& entry,
-                              const std::vector<target_id>& excluded, bool spill)
+std::optional<slot> take_least_used(const std::string& service, service_entry& entry,
+                                    const std::vector<target_id>& excluded, bool spill)
 {
     target_entry* best = nullptr;
     for (auto& t : entry.targets) {
@@ -58,8 +58,8 @@
 std::optional<slot> take(const std::string& service, service_entry& entry,
                          const std::vector<target_id>& excluded, bool may_spill)
 {
-    auto taken = take_kind(service, entry, excluded, false);
-    return taken || !may_spill ? std::move(taken) : take_kind(service, entry, excluded, true);
+    auto taken = take_least_used(service, entry, excluded, false);
+    return taken || !may_spill ? std::move(taken) : take_least_used(service, entry, excluded, true);
 }
 
 void serve_waiters(const std::string& service, service_entry& entry)
