--- a/source/traffic/retry_budget.cpp
+++ b/source/traffic/retry_budget.cpp
@@ -8,7 +8,7 @@
 {
     const auto most = bounds.retry_slack / static_cast<double>(hosts);
     const auto before = budget.tokens < 0 ? most : budget.tokens;
-    budget.tokens = std::min(before + bounds.retry_ratio * used_part_of_ratio, most);
+    budget.tokens = std::min(before + bounds.retry_ratio * ratio_safety_factor, most);
 }
 
 bool has_retry(const retry_budget& budget)
--- a/source/traffic/retry_budget.h
+++ b/source/traffic/retry_budget.h
@@ -15,7 +15,7 @@
 
 /// Fraction of the permitted ratio that is used. The margin allows for others counting requests and
 /// retries at slightly different times.
-constexpr double used_part_of_ratio = 0.8;
+constexpr double ratio_safety_factor = 0.8;
 
 /// Adds the tokens for a first attempt. The slack is divided among `hosts`.
 void note_request(retry_budget& budget, const shared_budgets& bounds, std::size_t hosts);
