--- a/source/traffic/placement.cpp
+++ b/source/traffic/placement.cpp
@@ -232,7 +232,7 @@
     load.others = total > load.in_flight ? total - load.in_flight : 0;
     load.waiting = waiting;
     load.waiting_mean = mean_queue(load, now);
-    load.waiting_mean += (waiting - load.waiting_mean) * report_step;
+    load.waiting_mean += (waiting - load.waiting_mean) * report_weight;
     load.reported = now;
 }
 
--- a/source/traffic/placement.h
+++ b/source/traffic/placement.h
@@ -72,7 +72,7 @@
 /// Some requests always pass, because only their responses show that a queue has drained.
 constexpr double max_refused_share = 0.9;
 /// Weight of the newest load report in the moving average of the queue length.
-constexpr double report_step = 0.4;
+constexpr double report_weight = 0.4;
 /// Half-life of the mean queue length while no load report arrives.
 constexpr std::chrono::milliseconds queue_half_life{2'000};
 /// Half-life of the reported number of requests from other hosts.
