--- a/source/traffic/placement.cpp
+++ b/source/traffic/placement.cpp
@@ -16,7 +16,7 @@
 constexpr double hashes = 18446744073709551616.0; // 2^64
 
 /// Weight of the newest response in the moving average of a target's time per request.
-constexpr double service_step = 0.2;
+constexpr double service_time_weight = 0.2;
 
 struct candidate {
     const target_route* target = nullptr;
@@ -243,7 +243,7 @@
     const auto rounds = 1 + static_cast<double>(load.waiting) / std::max<std::uint32_t>(1, slots);
     const auto service = whole.count() / rounds;
     load.service_ms = load.service_ms > 0
-                          ? load.service_ms + (service - load.service_ms) * service_step
+                          ? load.service_ms + (service - load.service_ms) * service_time_weight
                           : service;
 }
 
