--- a/source/traffic/worker.cpp
+++ b/source/traffic/worker.cpp
@@ -16,7 +16,7 @@
 
 constexpr std::chrono::milliseconds accept_pause{50};
 /// Weight of the newest value in moving averages.
-constexpr double mean_step = 0.1;
+constexpr double mean_weight = 0.1;
 /// Decay factor of a service's slowest response time, applied with each response.
 constexpr double slowest_decay = 0.98;
 /// Step of a quantile's estimate for each value, as a fraction of the estimate.
@@ -140,7 +140,7 @@
 
 void note_response_size(route_estimate& estimate, double bytes)
 {
-    estimate.response_bytes += (bytes - estimate.response_bytes) * mean_step;
+    estimate.response_bytes += (bytes - estimate.response_bytes) * mean_weight;
 }
 
 void take_verdict(worker& w, const claim_verdict_effect& verdict)
