--- a/source/traffic/request_rules.cpp
+++ b/source/traffic/request_rules.cpp
@@ -15,7 +15,7 @@
 using clock = std::chrono::steady_clock;
 
 /// One in this many requests is logged even if it succeeds.
-constexpr std::uint64_t sampled_requests = 20;
+constexpr std::uint64_t sampling_interval = 20;
 
 /// The service is the first label of the Host header: "ledger" or "ledger.example:80".
 std::string service_of(const caller_parser& parser)
@@ -111,7 +111,7 @@
     request.rule = rule;
     request.started = clock::now();
     request.keep_alive = parser.get().keep_alive();
-    request.is_sampled = w.requests_read++ % sampled_requests == 0;
+    request.is_sampled = w.requests_read++ % sampling_interval == 0;
     request.id = request_id_of(w, parser);
     if (rule != nullptr) {
         apply_rule(w, request);
