--- a/source/traffic/traffic_server.cpp
+++ b/source/traffic/traffic_server.cpp
@@ -97,13 +97,14 @@
 void traffic_server::stop(std::function<void()> on_drained)
 {
     const auto left = std::make_shared<std::atomic<std::size_t>>(state_->workers.size());
-    const auto one_less = [left, on_drained = std::move(on_drained)] {
+    const auto on_thread_drained = [left, on_drained = std::move(on_drained)] {
         if (left->fetch_sub(1) == 1) {
             on_drained();
         }
     };
     for (auto& w : state_->workers) {
-        asio::post(w->state.io, [w = &w->state, one_less] { stop_listening(*w, one_less); });
+        asio::post(w->state.io,
+                   [w = &w->state, on_thread_drained] { stop_listening(*w, on_thread_drained); });
     }
 }
 
