--- a/source/traffic/caller_reader.cpp
+++ b/source/traffic/caller_reader.cpp
@@ -22,8 +22,10 @@
 {
     const auto expected = parser.get()[beast::http::field::expect];
     if (beast::iequals(expected, "100-continue")) {
-        beast::http::response<beast::http::empty_body> go_on(beast::http::status::continue_, 11);
-        co_await beast::http::async_write(connection.stream, go_on, redirect_error_to(problem));
+        beast::http::response<beast::http::empty_body> continue_response(
+            beast::http::status::continue_, 11);
+        co_await beast::http::async_write(connection.stream, continue_response,
+                                          redirect_error_to(problem));
     }
 }
 
