--- a/source/http/server.cpp
+++ b/source/http/server.cpp
@@ -27,8 +27,8 @@
 
 /// Wakes the connection's coroutine when the handler has responded, which may happen before the
 /// coroutine waits.
-struct pending_answer {
-    explicit pending_answer(asio::io_context& io)
+struct pending_response {
+    explicit pending_response(asio::io_context& io)
         : signal(io, asio::steady_timer::time_point::max())
     {
     }
@@ -81,7 +81,7 @@
 
 asio::awaitable<response> answer_of(state_ptr state, request r)
 {
-    const auto pending = std::make_shared<pending_answer>(state->io);
+    const auto pending = std::make_shared<pending_response>(state->io);
     state->handler(r, [pending](response answer) {
         pending->answer = std::move(answer);
         pending->signal.cancel();
