--- a/source/http/server.cpp
+++ b/source/http/server.cpp
@@ -79,7 +79,7 @@
     return message;
 }
 
-asio::awaitable<response> answer_of(state_ptr state, request r)
+asio::awaitable<response> respond_to(state_ptr state, request r)
 {
     const auto pending = std::make_shared<pending_response>(state->io);
     state->handler(r, [pending](response answer) {
@@ -109,7 +109,7 @@
         }
         const bool keep_alive = parser.get().keep_alive();
         stream.expires_never();
-        auto answer = co_await answer_of(state, from_beast(parser.release()));
+        auto answer = co_await respond_to(state, from_beast(parser.release()));
         const auto message = to_beast(std::move(answer), keep_alive);
         stream.expires_after(request_timeout);
         co_await beast::http::async_write(stream, message,
