--- a/unit_tests/traffic/placement_test.cpp
+++ b/unit_tests/traffic/placement_test.cpp
@@ -99,8 +99,8 @@
 /// Simulates Poisson arrivals of `rate(t)` requests per second at 12 hosts, each of which knows
 /// only its own requests and the load reports in its own responses. Counts the requests from
 /// `counted_from` on.
-load_result play(strategy how, const std::function<double(seconds)>& rate, seconds length,
-                 seconds counted_from, bool starts_overloaded = false)
+load_result simulate(strategy how, const std::function<double(seconds)>& rate, seconds length,
+                     seconds counted_from, bool starts_overloaded = false)
 {
     constexpr std::size_t hosts = 12;
     constexpr std::size_t target_count = 32;
@@ -444,9 +444,9 @@
     /// of 32 erlangs if all are warm.
     void usual_load_is_served_in_time()
     {
-        const auto by_object = play(strategy::by_object, usual_rate, seconds(30), seconds(5));
-        const auto least = play(strategy::least_in_flight, usual_rate, seconds(30), seconds(5));
-        const auto random = play(strategy::any, usual_rate, seconds(30), seconds(5));
+        const auto by_object = simulate(strategy::by_object, usual_rate, seconds(30), seconds(5));
+        const auto least = simulate(strategy::least_in_flight, usual_rate, seconds(30), seconds(5));
+        const auto random = simulate(strategy::any, usual_rate, seconds(30), seconds(5));
         CPPUNIT_ASSERT(part_in_time(by_object) >= 0.9);
         CPPUNIT_ASSERT(part_in_time(by_object) > 2 * part_in_time(least));
         CPPUNIT_ASSERT(part_in_time(by_object) > 2 * part_in_time(random));
@@ -459,7 +459,7 @@
         const auto burst = [](seconds passed) {
             return passed >= seconds(10) && passed < seconds(13) ? 1.7 * 165 : 165;
         };
-        const auto after = play(strategy::by_object, burst, seconds(30), seconds(15));
+        const auto after = simulate(strategy::by_object, burst, seconds(30), seconds(15));
         CPPUNIT_ASSERT(part_in_time(after) >= 0.9);
     }
 
@@ -467,7 +467,8 @@
     /// all of them. The placement policy must not sustain that state.
     void full_queues_of_cold_work_drain()
     {
-        const auto after = play(strategy::by_object, usual_rate, seconds(30), seconds(10), true);
+        const auto after =
+            simulate(strategy::by_object, usual_rate, seconds(30), seconds(10), true);
         CPPUNIT_ASSERT(part_in_time(after) >= 0.9);
     }
 };
