--- a/unit_tests/traffic/placement_test.cpp
+++ b/unit_tests/traffic/placement_test.cpp
@@ -176,7 +176,7 @@
 
 /// Simulates requests with large responses from one region that has `near` targets; `far` targets
 /// are in another region. Counts the requests after a warm-up.
-load_result play_large_answers(std::size_t near, std::size_t far, double rate, seconds length)
+load_result simulate_large_responses(std::size_t near, std::size_t far, double rate, seconds length)
 {
     constexpr std::size_t hosts = 65;
     constexpr std::uint64_t objects = 60;
@@ -348,7 +348,7 @@
         constexpr double slots_of_near = 6 * 3;
         const double warm = std::chrono::duration<double>(warm_work).count();
         const double above = 1.3 * slots_of_near / warm;
-        const auto got = play_large_answers(6, 60, above, seconds(20));
+        const auto got = simulate_large_responses(6, 60, above, seconds(20));
         CPPUNIT_ASSERT_EQUAL(std::size_t{0}, got.refused);
     }
 
