--- a/unit_tests/traffic/placement_test.cpp
+++ b/unit_tests/traffic/placement_test.cpp
@@ -86,7 +86,7 @@
     std::size_t refused = 0;
 };
 
-struct answer_on_its_way {
+struct response_in_flight {
     clock::time_point at;
     std::size_t host;
     std::size_t target;
@@ -109,7 +109,7 @@
     std::vector<model_target> models(target_count);
     std::array<load_table, hosts> tables;
     std::array<route_estimate, hosts> estimates;
-    std::vector<answer_on_its_way> answers;
+    std::vector<response_in_flight> answers;
     std::mt19937_64 random(7);
     load_result result;
     if (starts_overloaded) {
@@ -125,7 +125,7 @@
         std::exponential_distribution<double> gap(rate(passed));
         now +=
             std::chrono::duration_cast<clock::duration>(std::chrono::duration<double>(gap(random)));
-        std::erase_if(answers, [&](const answer_on_its_way& a) {
+        std::erase_if(answers, [&](const response_in_flight& a) {
             if (a.at > now) {
                 return false;
             }
@@ -189,7 +189,7 @@
     }
     std::vector<model_target> models(targets.size());
     std::array<load_table, hosts> tables;
-    std::vector<answer_on_its_way> answers;
+    std::vector<response_in_flight> answers;
     std::mt19937_64 random(11);
     std::uniform_real_distribution<double> uniform(0, 1);
     std::exponential_distribution<double> gap(rate);
@@ -197,7 +197,7 @@
     for (auto now = start; now < start + length;) {
         now +=
             std::chrono::duration_cast<clock::duration>(std::chrono::duration<double>(gap(random)));
-        std::erase_if(answers, [&](const answer_on_its_way& a) {
+        std::erase_if(answers, [&](const response_in_flight& a) {
             if (a.at <= now) {
                 auto& load = tables.at(a.host)[targets[a.target].id];
                 --load.in_flight;
