--- a/unit_tests/traffic/placement_test.cpp
+++ b/unit_tests/traffic/placement_test.cpp
@@ -57,7 +57,7 @@
 
 constexpr milliseconds cold_work{640};
 constexpr milliseconds warm_work{192};
-constexpr std::size_t kept_objects = 21;
+constexpr std::size_t cached_objects = 21;
 constexpr std::size_t queue_limit = 9;
 
 /// Runs a request and returns the time at which it ends, or nothing if the queue is full.
@@ -70,7 +70,7 @@
     const bool is_warm = std::ranges::find(t.warm, object) != t.warm.end();
     t.warm.remove(object);
     t.warm.push_front(object);
-    if (t.warm.size() > kept_objects) {
+    if (t.warm.size() > cached_objects) {
         t.warm.pop_back();
     }
     slot = std::max(slot, now) + (is_warm ? warm_work : cold_work);
