--- a/unit_tests/traffic/placement_test.cpp
+++ b/unit_tests/traffic/placement_test.cpp
@@ -265,7 +265,7 @@
     CPPUNIT_TEST(refusals_grow_with_the_predicted_excess);
     CPPUNIT_TEST(the_estimate_of_warm_work_withstands_slow_answers);
     CPPUNIT_TEST(usual_load_is_served_in_time);
-    CPPUNIT_TEST(a_burst_does_not_outlast_itself);
+    CPPUNIT_TEST(load_recovers_after_a_burst);
     CPPUNIT_TEST(full_queues_of_cold_work_drain);
     CPPUNIT_TEST_SUITE_END();
 
@@ -454,7 +454,7 @@
 
     /// The load rises to 1.7 times the usual rate for three seconds. Callers must be served in time
     /// again 2 s after the burst.
-    void a_burst_does_not_outlast_itself()
+    void load_recovers_after_a_burst()
     {
         const auto burst = [](seconds passed) {
             return passed >= seconds(10) && passed < seconds(13) ? 1.7 * 165 : 165;
