--- a/unit_tests/traffic/slot_pool_test.cpp
+++ b/unit_tests/traffic/slot_pool_test.cpp
@@ -35,7 +35,7 @@
     CPPUNIT_TEST(queue_is_bounded);
     CPPUNIT_TEST(unusable_and_excluded_targets_get_nothing);
     CPPUNIT_TEST(shared_targets_have_no_slots_of_their_own_here);
-    CPPUNIT_TEST(holds_under_random_use);
+    CPPUNIT_TEST(share_holds_under_random_use);
     CPPUNIT_TEST(retries_are_a_part_of_requests);
     CPPUNIT_TEST(refusals_have_statuses);
     CPPUNIT_TEST_SUITE_END();
@@ -125,7 +125,7 @@
         CPPUNIT_ASSERT(!pool->try_take("s", {}));
     }
 
-    void holds_under_random_use()
+    void share_holds_under_random_use()
     {
         std::mt19937 random(9);
         const auto pool = slot_pool::create();
