--- a/source/traffic/placement.cpp
+++ b/source/traffic/placement.cpp
@@ -159,7 +159,7 @@
 {
     const std::chrono::duration<double> age = now - load.reported;
     const std::chrono::duration<double> half_life = report_half_life;
-    return load.in_flight + load.others * std::exp2(-age / half_life);
+    return load.in_flight + load.others_in_flight * std::exp2(-age / half_life);
 }
 
 double refused_share(milliseconds predicted, milliseconds objective)
@@ -229,7 +229,7 @@
         return;
     }
     const auto total = running + waiting;
-    load.others = total > load.in_flight ? total - load.in_flight : 0;
+    load.others_in_flight = total > load.in_flight ? total - load.in_flight : 0;
     load.waiting = waiting;
     load.waiting_mean = mean_queue(load, now);
     load.waiting_mean += (waiting - load.waiting_mean) * report_weight;
--- a/source/traffic/placement.h
+++ b/source/traffic/placement.h
@@ -22,10 +22,11 @@
 /// What this host knows of a target's load.
 struct target_load {
     std::uint32_t in_flight = 0; ///< requests sent by this host
-    std::uint32_t others = 0;    ///< requests of other hosts, from the target's last load report
-    double service_ms = 0;       ///< mean time per request without queueing; 0 if unknown
-    std::uint32_t waiting = 0;   ///< queue length in its last load report
-    double waiting_mean = 0;     ///< moving average of the reported queue length
+    std::uint32_t others_in_flight =
+        0;                     ///< requests of other hosts, from the target's last load report
+    double service_ms = 0;     ///< mean time per request without queueing; 0 if unknown
+    std::uint32_t waiting = 0; ///< queue length in its last load report
+    double waiting_mean = 0;   ///< moving average of the reported queue length
     std::chrono::steady_clock::time_point reported{};
     std::chrono::steady_clock::time_point avoid_until{}; ///< set after consecutive failures
     unsigned failures = 0;                               ///< consecutive
