--- a/source/traffic/worker.cpp
+++ b/source/traffic/worker.cpp
@@ -154,7 +154,7 @@
 
 void report_target(worker& w, const target_id& target, target_evidence evidence)
 {
-    auto& failures = w.failing[target];
+    auto& failures = w.consecutive_failures[target];
     if (evidence != target_evidence::served) {
         ++failures;
         w.context.events.report({target, evidence});
--- a/source/traffic/worker.h
+++ b/source/traffic/worker.h
@@ -77,9 +77,10 @@
     std::chrono::steady_clock::time_point log_window_start{};
     unsigned failure_lines = 0; ///< in this window
     unsigned success_lines = 0;
-    std::uint64_t log_lines_dropped = 0;             ///< about failures
-    std::uint64_t requests_read = 0;                 ///< for sampling
-    std::map<target_id, unsigned> failing;           ///< consecutive failures seen by this thread
+    std::uint64_t log_lines_dropped = 0; ///< about failures
+    std::uint64_t requests_read = 0;     ///< for sampling
+    std::map<target_id, unsigned>
+        consecutive_failures;                        ///< consecutive failures seen by this thread
     std::map<std::uint64_t, verdict_wait*> verdicts; ///< by request number
     std::uint64_t requests = 0;
     std::set<request_fingerprint> suspects; ///< in flight when this thread saw a target crash
