--- a/source/traffic/exchange.cpp
+++ b/source/traffic/exchange.cpp
@@ -323,7 +323,7 @@
 clock::time_point response_deadline(const worker& w, const caller_request& request,
                                     const upstream_connection& used)
 {
-    if (request.rule != nullptr || !request.may_try_again || request.abandoned_target) {
+    if (request.rule != nullptr || !request.can_retry || request.abandoned_target) {
         return request.deadline;
     }
     const auto now = clock::now();
@@ -398,7 +398,7 @@
     if (const auto unrun = not_run_code(w, used, parser); unrun != result_code::ok) {
         co_return not_run_result(request, unrun);
     }
-    if (request.may_try_again && answer.result_int() >= first_server_error) {
+    if (request.can_retry && answer.result_int() >= first_server_error) {
         co_return lost_result(request, result_code::target_failed);
     }
     upstream.stream.expires_at(request.deadline);
--- a/source/traffic/forward.cpp
+++ b/source/traffic/forward.cpp
@@ -362,7 +362,7 @@
             break;
         }
         const bool can_follow = tries + 1 < most && has_retry(budget);
-        request.may_try_again = can_follow && request.repeatable && request.body_is_complete;
+        request.can_retry = can_follow && request.repeatable && request.body_is_complete;
         // A conditional expression with two co_await destroys its result twice with g++ 12.
         std::optional<forward_result> tried;
         if (are_targets_shared(w, request)) {
--- a/source/traffic/forward.h
+++ b/source/traffic/forward.h
@@ -32,9 +32,9 @@
     std::chrono::steady_clock::time_point deadline;
     bool is_spilled = false; ///< forwarded by an entry host of another failure domain
     bool keep_alive = false;
-    bool is_sampled = false;    ///< logged even if it succeeds
-    bool was_shed = false;      ///< rejected for lack of capacity, so other regions may be used
-    bool may_try_again = false; ///< a retry is possible, so an error response need not be relayed
+    bool is_sampled = false; ///< logged even if it succeeds
+    bool was_shed = false;   ///< rejected for lack of capacity, so other regions may be used
+    bool can_retry = false;  ///< a retry is possible, so an error response need not be relayed
     std::optional<target_id>
         abandoned_target; ///< of an attempt abandoned because its response was late
     std::string body;     ///< the first piece of the body
