--- a/source/traffic/own_answer.cpp
+++ b/source/traffic/local_response.cpp
@@ -1,4 +1,4 @@
-#include "traffic/own_answer.h"
+#include "traffic/local_response.h"
 
 #include "traffic/outcome.h"
 
--- a/source/traffic/lookup.cpp
+++ b/source/traffic/lookup.cpp
@@ -1,7 +1,7 @@
 #include "traffic/lookup.h"
 
 #include "http/message.h"
-#include "traffic/own_answer.h"
+#include "traffic/local_response.h"
 
 namespace almondquay {
 
--- a/source/traffic/session.cpp
+++ b/source/traffic/session.cpp
@@ -2,8 +2,8 @@
 
 #include "traffic/caller_reader.h"
 #include "traffic/claimed.h"
+#include "traffic/local_response.h"
 #include "traffic/lookup.h"
-#include "traffic/own_answer.h"
 #include "traffic/request_log.h"
 #include "traffic/request_rules.h"
 
