--- a/source/traffic/claimed.cpp
+++ b/source/traffic/forward_claimed.cpp
@@ -1,4 +1,4 @@
-#include "traffic/claimed.h"
+#include "traffic/forward_claimed.h"
 
 #include <xxhash.h>
 
--- a/source/traffic/session.cpp
+++ b/source/traffic/session.cpp
@@ -1,7 +1,7 @@
 #include "traffic/session.h"
 
 #include "traffic/caller_reader.h"
-#include "traffic/claimed.h"
+#include "traffic/forward_claimed.h"
 #include "traffic/local_response.h"
 #include "traffic/lookup.h"
 #include "traffic/request_log.h"
