--- a/source/traffic/forward.h
+++ b/source/traffic/forward.h
@@ -35,9 +35,8 @@
     bool is_sampled = false; ///< logged even if it succeeds
     bool was_shed = false;   ///< rejected for lack of capacity, so other regions may be used
     bool can_retry = false;  ///< a retry is possible, so an error response need not be relayed
-    std::optional<target_id>
-        abandoned_target; ///< of an attempt abandoned because its response was late
-    std::string body;     ///< the first piece of the body
+    std::optional<target_id> abandoned_target; ///< whose response was late
+    std::string body;                          ///< the first piece of the body
     bool body_is_complete = false;
 };
 
--- a/source/traffic/placement.h
+++ b/source/traffic/placement.h
@@ -21,12 +21,11 @@
 
 /// What this host knows of a target's load.
 struct target_load {
-    std::uint32_t in_flight = 0; ///< requests sent by this host
-    std::uint32_t others_in_flight =
-        0;                     ///< requests of other hosts, from the target's last load report
-    double service_ms = 0;     ///< mean time per request without queueing; 0 if unknown
-    std::uint32_t waiting = 0; ///< queue length in its last load report
-    double waiting_mean = 0;   ///< moving average of the reported queue length
+    std::uint32_t in_flight = 0;        ///< requests sent by this host
+    std::uint32_t others_in_flight = 0; ///< of other hosts, from the last load report
+    double service_ms = 0;              ///< mean time per request without queueing; 0 if unknown
+    std::uint32_t waiting = 0;          ///< queue length in the last load report
+    double waiting_mean = 0;            ///< moving average of the reported queue length
     std::chrono::steady_clock::time_point reported{};
     std::chrono::steady_clock::time_point avoid_until{}; ///< set after consecutive failures
     unsigned failures = 0;                               ///< consecutive
@@ -92,7 +91,7 @@
                           placement_criteria criteria, double draw,
                           std::chrono::steady_clock::time_point now);
 
-/// Whether a request prefers the targets of its region: its response is large, and none of them has
+/// Whether a request prefers the targets of its region: its response is large, and no target has
 /// rejected it for lack of capacity yet.
 bool stays_near(double response_bytes, bool was_shed);
 
--- a/source/traffic/worker.h
+++ b/source/traffic/worker.h
@@ -71,16 +71,14 @@
     std::map<std::string, retry_budget, std::less<>> budgets;
     load_table loads; ///< of targets that all hosts share
     std::map<route_id, route_estimate> routes;
-    std::map<std::string, double, std::less<>>
-        slowest_response_ms; ///< ms, by service; see note_answer
+    std::map<std::string, double, std::less<>> slowest_response_ms; ///< by service
     std::mt19937_64 random;
     std::chrono::steady_clock::time_point log_window_start{};
     unsigned failure_lines = 0; ///< in this window
     unsigned success_lines = 0;
     std::uint64_t log_lines_dropped = 0; ///< about failures
     std::uint64_t requests_read = 0;     ///< for sampling
-    std::map<target_id, unsigned>
-        consecutive_failures;                        ///< consecutive failures seen by this thread
+    std::map<target_id, unsigned> consecutive_failures;
     std::map<std::uint64_t, verdict_wait*> verdicts; ///< by request number
     std::uint64_t requests = 0;
     std::set<request_fingerprint> suspects; ///< in flight when this thread saw a target crash
