--- a/source/traffic/exchange.cpp
+++ b/source/traffic/exchange.cpp
@@ -180,7 +180,7 @@
 forward_result not_run_result(const caller_request& request, result_code code)
 {
     auto end = lost_result(request, code);
-    end.what = outcome::not_run;
+    end.request_outcome = outcome::not_run;
     return end;
 }
 
@@ -217,7 +217,7 @@
         if (problem) {
             caller.close();
             end.code = result_code::target_answer_lost;
-            end.what = outcome::unknown;
+            end.request_outcome = outcome::unknown;
             end.caller_usable = false;
             co_return;
         }
--- a/source/traffic/forward.cpp
+++ b/source/traffic/forward.cpp
@@ -146,7 +146,7 @@
 {
     auto& load = w.loads[used.target];
     const auto now = clock::now();
-    if (end.what == outcome::ran) {
+    if (end.request_outcome == outcome::ran) {
         load.failures = 0;
         note_service_time(load, slots_of(w, used), now - sent);
         if (request.rule != nullptr && end.code == result_code::ok && load.waiting == 0) {
@@ -198,7 +198,7 @@
                        report_if_crashed(w, {request.fingerprint, describe(request), used.target},
                                          used.address),
                        asio::detached);
-    } else if (end.what == outcome::ran && w.suspects.erase(request.fingerprint) != 0) {
+    } else if (end.request_outcome == outcome::ran && w.suspects.erase(request.fingerprint) != 0) {
         w.context.events.cleared(request.fingerprint);
     }
 }
@@ -229,7 +229,7 @@
     const bool reused = upstream->reused;
     const auto sent = clock::now();
     const auto end = co_await exchange(w, request, used, upstream);
-    if (end.what == outcome::ran) {
+    if (end.request_outcome == outcome::ran) {
         note_response_time(w, request.service, clock::now() - sent);
     }
     if (used.is_spill) {
@@ -244,7 +244,7 @@
     }
     if (is_target_failure && !reused) {
         report_target(w, used.target, target_evidence::answer_lost);
-    } else if (end.what == outcome::ran) {
+    } else if (end.request_outcome == outcome::ran) {
         report_target(w, used.target, target_evidence::served);
     }
     co_return end;
@@ -292,7 +292,7 @@
     log_attempt(w, request, guard.held, tried, clock::now() - sent);
     // Only a target that did not run the request is excluded: the failure of a reused connection
     // says little about its target, which may be tried again.
-    if (tried.what == outcome::not_run) {
+    if (tried.request_outcome == outcome::not_run) {
         excluded.push_back(guard.held.target);
     }
     co_return tried;
@@ -325,7 +325,7 @@
 bool may_retry(const caller_request& request, const forward_result& end)
 {
     const bool can_resend = request.body_is_complete && end.caller_usable && !end.answered;
-    const bool is_safe = end.what == outcome::not_run || request.repeatable;
+    const bool is_safe = end.request_outcome == outcome::not_run || request.repeatable;
     return can_resend && is_safe && end.code != result_code::caller_gone &&
            clock::now() < request.deadline;
 }
@@ -335,9 +335,9 @@
 forward_result combine_results(const forward_result& before, const forward_result& latest)
 {
     auto end = latest;
-    if (before.what == outcome::unknown && latest.what == outcome::not_run) {
+    if (before.request_outcome == outcome::unknown && latest.request_outcome == outcome::not_run) {
         end.code = before.code;
-        end.what = outcome::unknown;
+        end.request_outcome = outcome::unknown;
     }
     return end;
 }
--- a/source/traffic/forward.h
+++ b/source/traffic/forward.h
@@ -50,7 +50,7 @@
 /// Result of forwarding a request.
 struct forward_result {
     result_code code = result_code::ok;
-    outcome what = outcome::not_run;
+    outcome request_outcome = outcome::not_run;
     bool answered = false;     ///< at least part of the target's response was sent to the caller
     bool caller_usable = true; ///< the caller's connection can carry another request
     std::optional<stored_response> kept;      ///< only for non-idempotent requests
--- a/source/traffic/forward_claimed.cpp
+++ b/source/traffic/forward_claimed.cpp
@@ -53,10 +53,10 @@
 
 claim_finished_event finished(claim_number number, const forward_result& end)
 {
-    if (end.what == outcome::not_run) {
+    if (end.request_outcome == outcome::not_run) {
         return {number, claim_end::not_run, {}};
     }
-    if (end.what == outcome::unknown) {
+    if (end.request_outcome == outcome::unknown) {
         return {number, claim_end::unknown, {}};
     }
     claim_answer answer;
--- a/source/traffic/local_response.cpp
+++ b/source/traffic/local_response.cpp
@@ -22,7 +22,7 @@
     return {text.data(), static_cast<std::size_t>(size)};
 }
 
-local_response make_refusal(const worker& w, result_code code, outcome what,
+local_response make_refusal(const worker& w, result_code code, outcome request_outcome,
                             std::chrono::milliseconds retry_after)
 {
     local_response answer;
@@ -30,7 +30,7 @@
     answer.result(status_of(code));
     answer.set(beast::http::field::content_type, "application/json");
     if (w.context.profile->reports_outcome) {
-        answer.set(outcome_header, name_of(what));
+        answer.set(outcome_header, name_of(request_outcome));
         answer.set(result_header, std::to_string(static_cast<int>(code)));
         answer.set(host_header, w.context.host.value);
     }
@@ -38,7 +38,7 @@
         const auto time = retry_after.count() != 0 ? retry_after : default_retry_after;
         answer.set(beast::http::field::retry_after, seconds_text(time));
     }
-    answer.body() = refusal_body(code, what);
+    answer.body() = refusal_body(code, request_outcome);
     return answer;
 }
 
@@ -68,7 +68,7 @@
 asio::awaitable<void> refuse(worker& w, caller_connection& connection, std::uint64_t turn,
                              const forward_result& end, bool keep_alive)
 {
-    auto refusal = make_refusal(w, end.code, end.what, end.retry_after);
+    auto refusal = make_refusal(w, end.code, end.request_outcome, end.retry_after);
     co_await send_local_response(w, connection, turn, refusal, keep_alive);
 }
 
