--- a/source/traffic/exchange.cpp
+++ b/source/traffic/exchange.cpp
@@ -255,9 +255,9 @@
     }
     forward_result end{result_code::ok, outcome::ran, true, true, std::nullopt};
     if (!request.repeatable && parser.is_done() && w.context.profile->claims_non_idempotent) {
-        end.kept = stored_response{parser.get().result_int(),
-                                   std::string(parser.get()[beast::http::field::content_type]),
-                                   piece.substr(0, size)};
+        end.stored = stored_response{parser.get().result_int(),
+                                     std::string(parser.get()[beast::http::field::content_type]),
+                                     piece.substr(0, size)};
     }
     if (request.rule != nullptr) {
         const auto bytes = parser.content_length().value_or(size);
--- a/source/traffic/forward.h
+++ b/source/traffic/forward.h
@@ -53,7 +53,7 @@
     outcome request_outcome = outcome::not_run;
     bool answered = false;     ///< at least part of the target's response was sent to the caller
     bool caller_usable = true; ///< the caller's connection can carry another request
-    std::optional<stored_response> kept;      ///< only for non-idempotent requests
+    std::optional<stored_response> stored;    ///< only for non-idempotent requests
     std::chrono::milliseconds retry_after{0}; ///< delay before a refused request may be resent
 };
 
--- a/source/traffic/forward_claimed.cpp
+++ b/source/traffic/forward_claimed.cpp
@@ -60,9 +60,9 @@
         return {number, claim_end::unknown, {}};
     }
     claim_answer answer;
-    answer.is_kept = end.kept && end.kept->body.size() <= max_kept_body_bytes;
+    answer.is_kept = end.stored && end.stored->body.size() <= max_kept_body_bytes;
     if (answer.is_kept) {
-        answer = {end.kept->status, end.kept->content_type, end.kept->body, true};
+        answer = {end.stored->status, end.stored->content_type, end.stored->body, true};
     }
     return {number, claim_end::ran, std::move(answer)};
 }
--- a/source/traffic/local_response.cpp
+++ b/source/traffic/local_response.cpp
@@ -78,17 +78,17 @@
 }
 
 asio::awaitable<void> replay(worker& w, caller_connection& connection, std::uint64_t turn,
-                             claim_answer kept, bool keep_alive)
+                             claim_answer stored, bool keep_alive)
 {
     local_response answer;
     answer.version(11);
-    answer.result(kept.status);
-    answer.set(beast::http::field::content_type, kept.content_type);
+    answer.result(stored.status);
+    answer.set(beast::http::field::content_type, stored.content_type);
     answer.set(outcome_header, name_of(outcome::ran));
     answer.set(result_header, "0");
     answer.set(replayed_header, "yes");
     answer.set(host_header, w.context.host.value);
-    answer.body() = std::move(kept.body);
+    answer.body() = std::move(stored.body);
     co_await send_local_response(w, connection, turn, answer, keep_alive);
 }
 
--- a/source/traffic/local_response.h
+++ b/source/traffic/local_response.h
@@ -24,6 +24,6 @@
 
 /// Sends the stored response of the first request with the same idempotency key.
 asio::awaitable<void> replay(worker& w, caller_connection& connection, std::uint64_t turn,
-                             claim_answer kept, bool keep_alive);
+                             claim_answer stored, bool keep_alive);
 
 } // namespace almondquay
