--- a/source/traffic/exchange.cpp
+++ b/source/traffic/exchange.cpp
@@ -71,7 +71,7 @@
     head.version(11);
     head.erase(spill_header);
     if (used.is_spill) {
-        head.set(spill_header, spill_proof(w, request.service, request.parser->get()));
+        head.set(spill_header, spill_signature(w, request.service, request.parser->get()));
     }
     const auto& profile = *w.context.profile;
     head.set(profile.deadline_header, std::to_string(time_left(request).count()));
--- a/source/traffic/spill.cpp
+++ b/source/traffic/spill.cpp
@@ -18,8 +18,8 @@
 
 } // namespace
 
-std::string spill_proof(const worker& w, std::string_view service,
-                        const caller_parser::value_type& request)
+std::string spill_signature(const worker& w, std::string_view service,
+                            const caller_parser::value_type& request)
 {
     return sign(w.context.secret, signed_text(service, request));
 }
--- a/source/traffic/spill.h
+++ b/source/traffic/spill.h
@@ -10,8 +10,8 @@
 inline constexpr std::string_view spill_header = "Almondquay-Spill";
 
 /// The signature that the sending host puts into the header.
-std::string spill_proof(const worker& w, std::string_view service,
-                        const caller_parser::value_type& request);
+std::string spill_signature(const worker& w, std::string_view service,
+                            const caller_parser::value_type& request);
 
 /// Whether the request has a valid signature of an entry host. Such a request is not spilled again,
 /// and its idempotency key has been claimed by the sending host.
