--- a/source/traffic/upstream_pool.cpp
+++ b/source/traffic/upstream_pool.cpp
@@ -32,7 +32,7 @@
 {
     error_code ignored;
     socket.set_option(tcp::no_delay(true), ignored);
-    const auto limit = static_cast<unsigned>(unacknowledged_limit.count());
+    const auto limit = static_cast<unsigned>(tcp_user_timeout.count());
     const auto handle = socket.native_handle();
     ::setsockopt(handle, IPPROTO_TCP, TCP_USER_TIMEOUT, &limit, sizeof limit);
     socket.set_option(asio::socket_base::keep_alive(true), ignored);
--- a/source/traffic/upstream_pool.h
+++ b/source/traffic/upstream_pool.h
@@ -50,7 +50,7 @@
 /// An idle connection is discarded this long before the target would close it.
 constexpr std::chrono::milliseconds idle_margin{1'000};
 /// A connection whose data stays unacknowledged for this long is considered dead and closed.
-constexpr std::chrono::milliseconds unacknowledged_limit{1'000};
+constexpr std::chrono::milliseconds tcp_user_timeout{1'000};
 constexpr std::chrono::milliseconds connect_timeout{300};
 
 /// An idle connection, or nullptr if a new one is needed.
