--- a/source/traffic/slot_pool.cpp
+++ b/source/traffic/slot_pool.cpp
@@ -24,7 +24,7 @@
     return std::ranges::find(excluded, id) != excluded.end();
 }
 
-bool has_room(const target_entry& t)
+bool has_free_slot(const target_entry& t)
 {
     return t.listed && t.route.usable && t.in_flight < t.route.slots;
 }
@@ -36,7 +36,7 @@
 {
     target_entry* best = nullptr;
     for (auto& t : entry.targets) {
-        if (t.route.is_spill != spill || !has_room(t) || is_excluded(excluded, t.route.id)) {
+        if (t.route.is_spill != spill || !has_free_slot(t) || is_excluded(excluded, t.route.id)) {
             continue;
         }
         const bool is_better =
