--- a/source/traffic/placement.cpp
+++ b/source/traffic/placement.cpp
@@ -40,7 +40,7 @@
 
 /// Whether the target is warm or this host may send it one more request within the limit for cold
 /// targets.
-bool has_cold_room(const target_route& t, const target_load* load, clock::time_point now)
+bool has_cold_capacity(const target_route& t, const target_load* load, clock::time_point now)
 {
     if (now >= t.cold_until) {
         return true;
@@ -123,7 +123,7 @@
         }
         any_usable = true;
         const auto* load = find_load(loads, t.id);
-        if (!has_cold_room(t, load, now)) {
+        if (!has_cold_capacity(t, load, now)) {
             continue;
         }
         candidate c;
