--- a/source/traffic/forward_claimed.cpp
+++ b/source/traffic/forward_claimed.cpp
@@ -24,7 +24,7 @@
     verdict_wait wait(w.io);
     wanted.request = w.context.first_request + w.requests++;
     w.verdicts[wanted.request] = &wait;
-    w.context.events.want(wanted);
+    w.context.events.claim_requested(wanted);
     while (!wait.verdict) {
         error_code ignored;
         co_await wait.signal.async_wait(redirect_error_to(ignored));
--- a/source/traffic/traffic_events.h
+++ b/source/traffic/traffic_events.h
@@ -11,7 +11,7 @@
     std::function<void(target_report_event)> report;
     std::function<void(crash_evidence)> crash;
     std::function<void(request_fingerprint)> cleared;
-    std::function<void(claim_requested_event)> want;
+    std::function<void(claim_requested_event)> claim_requested;
     std::function<void(claim_finished_event)> finish;
 };
 
