--- a/source/traffic/forward_claimed.cpp
+++ b/source/traffic/forward_claimed.cpp
@@ -70,7 +70,7 @@
 asio::awaitable<claimed_result> run_granted(worker& w, caller_request& request, claim_number number)
 {
     auto end = co_await forward(w, request);
-    w.context.events.finish(finished(number, end));
+    w.context.events.claim_finished(finished(number, end));
     co_return claimed_result{std::move(end), std::nullopt};
 }
 
--- a/source/traffic/traffic_events.h
+++ b/source/traffic/traffic_events.h
@@ -12,7 +12,7 @@
     std::function<void(crash_evidence)> crash;
     std::function<void(request_fingerprint)> cleared;
     std::function<void(claim_requested_event)> claim_requested;
-    std::function<void(claim_finished_event)> finish;
+    std::function<void(claim_finished_event)> claim_finished;
 };
 
 } // namespace almondquay
