--- a/source/almondquay/log_commands.cpp
+++ b/source/almondquay/log_commands.cpp
@@ -106,7 +106,7 @@
     }
 }
 
-void print_belief(const host_belief& b)
+void print_belief(const logged_host_state& b)
 {
     std::cout << b.host << ": " << b.stage << (b.since.empty() ? "" : ", started " + b.since)
               << '\n';
@@ -125,7 +125,7 @@
     }
 }
 
-json to_json(const host_belief& b)
+json to_json(const logged_host_state& b)
 {
     return {{"host", b.host},
             {"stage", b.stage},
--- a/source/trace/belief.cpp
+++ b/source/trace/belief.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 struct reading {
-    host_belief belief;
+    logged_host_state belief;
     std::set<std::string, std::less<>> listed;
 };
 
@@ -47,7 +47,7 @@
     }
 }
 
-void take_stage(host_belief& belief, const log_line& line)
+void take_stage(logged_host_state& belief, const log_line& line)
 {
     if (line.event == "start_serving") {
         belief.stage = "serving";
@@ -90,7 +90,7 @@
 
 } // namespace
 
-result<host_belief> read_belief(const log_source& logs, const std::string& host, log_time at)
+result<logged_host_state> read_belief(const log_source& logs, const std::string& host, log_time at)
 {
     reading r;
     r.belief.host = host;
--- a/source/trace/belief.h
+++ b/source/trace/belief.h
@@ -10,7 +10,7 @@
 namespace almondquay {
 
 /// State of a host at a given time, reconstructed from its log.
-struct host_belief {
+struct logged_host_state {
     std::string host;
     std::string stage = "not seen"; ///< not seen, starting, serving, leaving, stopped
     std::string since;              ///< time of the host's latest start
@@ -27,6 +27,6 @@
 };
 
 /// Replays the host's log lines up to the first one after `at`. Errors: text_unreadable.
-result<host_belief> read_belief(const log_source& logs, const std::string& host, log_time at);
+result<logged_host_state> read_belief(const log_source& logs, const std::string& host, log_time at);
 
 } // namespace almondquay
