--- a/source/almondquay/log_commands.cpp
+++ b/source/almondquay/log_commands.cpp
@@ -184,7 +184,7 @@
     if (!succeeded(logs)) {
         return complain(error_of(logs));
     }
-    const auto belief = read_belief(value_of(logs), c.subject, *at);
+    const auto belief = read_host_state(value_of(logs), c.subject, *at);
     if (!succeeded(belief)) {
         return complain(error_of(belief));
     }
--- a/source/trace/belief.cpp
+++ b/source/trace/belief.cpp
@@ -90,7 +90,8 @@
 
 } // namespace
 
-result<logged_host_state> read_belief(const log_source& logs, const std::string& host, log_time at)
+result<logged_host_state> read_host_state(const log_source& logs, const std::string& host,
+                                          log_time at)
 {
     reading r;
     r.belief.host = host;
--- a/source/trace/belief.h
+++ b/source/trace/belief.h
@@ -27,6 +27,7 @@
 };
 
 /// Replays the host's log lines up to the first one after `at`. Errors: text_unreadable.
-result<logged_host_state> read_belief(const log_source& logs, const std::string& host, log_time at);
+result<logged_host_state> read_host_state(const log_source& logs, const std::string& host,
+                                          log_time at);
 
 } // namespace almondquay
--- a/unit_tests/trace/trace_test.cpp
+++ b/unit_tests/trace/trace_test.cpp
@@ -232,7 +232,7 @@
                   decision("12", "a", "evacuate", "Domain d is evacuated.", "failure_domain:d") +
                   decision("13", "a", "host_dead", "Host b is dead.", "host:b")},
              {"b", decision("12", "b", "adopt_fleet", "Generation 9 is in force", "before:0")}});
-        const auto belief = value_of(read_belief(logs.open(), "a", at("20")));
+        const auto belief = value_of(read_host_state(logs.open(), "a", at("20")));
         CPPUNIT_ASSERT_EQUAL(std::string("serving"), belief.stage);
         CPPUNIT_ASSERT(belief.targets_out.empty());
         CPPUNIT_ASSERT(belief.generation.ends_with("Generation 4 is in force"));
@@ -249,12 +249,12 @@
                   decision("05", "a", "store_away", "The store does not answer.", "away_ms:0") +
                   decision("09", "a", "store_answers", "The store answers.", "away_ms:4000") +
                   decision("07", "a", "host_dead", "Host b is dead.", "host:b")}});
-        const auto early = value_of(read_belief(logs.open(), "a", at("06")));
+        const auto early = value_of(read_host_state(logs.open(), "a", at("06")));
         CPPUNIT_ASSERT_EQUAL(std::string("away"), early.store);
         CPPUNIT_ASSERT(early.dead_hosts.empty());
         CPPUNIT_ASSERT(early.clock_went_back);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{0},
-                             value_of(read_belief(logs.open(), "c", at("06"))).lines);
+                             value_of(read_host_state(logs.open(), "c", at("06"))).lines);
     }
 };
 
