--- a/unit_tests/trace/trace_test.cpp
+++ b/unit_tests/trace/trace_test.cpp
@@ -232,13 +232,13 @@
                   decision("12", "a", "evacuate", "Domain d is evacuated.", "failure_domain:d") +
                   decision("13", "a", "host_dead", "Host b is dead.", "host:b")},
              {"b", decision("12", "b", "adopt_fleet", "Generation 9 is in force", "before:0")}});
-        const auto belief = value_of(read_host_state(logs.open(), "a", at("20")));
-        CPPUNIT_ASSERT_EQUAL(std::string("serving"), belief.stage);
-        CPPUNIT_ASSERT(belief.targets_out.empty());
-        CPPUNIT_ASSERT(belief.generation.ends_with("Generation 4 is in force"));
-        CPPUNIT_ASSERT(belief.evacuated.contains("d"));
-        CPPUNIT_ASSERT(belief.dead_hosts.contains("b"));
-        CPPUNIT_ASSERT(!belief.clock_went_back);
+        const auto state = value_of(read_host_state(logs.open(), "a", at("20")));
+        CPPUNIT_ASSERT_EQUAL(std::string("serving"), state.stage);
+        CPPUNIT_ASSERT(state.targets_out.empty());
+        CPPUNIT_ASSERT(state.generation.ends_with("Generation 4 is in force"));
+        CPPUNIT_ASSERT(state.evacuated.contains("d"));
+        CPPUNIT_ASSERT(state.dead_hosts.contains("b"));
+        CPPUNIT_ASSERT(!state.clock_went_back);
     }
 
     void a_belief_ends_with_its_time()
