--- a/source/trace/belief.cpp
+++ b/source/trace/belief.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-struct reading {
+struct log_replay {
     logged_host_state state;
     std::set<std::string, std::less<>> listed;
 };
@@ -16,7 +16,7 @@
     return line.time_text + " " + std::string(field_of(line, "summary"));
 }
 
-void take_start(reading& r, const log_line& line)
+void take_start(log_replay& r, const log_line& line)
 {
     const auto host = r.state.host;
     const auto lines = r.state.lines;
@@ -29,7 +29,7 @@
     r.state.since = line.time_text;
 }
 
-void take_about_target(reading& r, const log_line& line)
+void take_about_target(log_replay& r, const log_line& line)
 {
     const std::string target(input_of(line, "target"));
     if (line.event == "target_listed") {
@@ -58,7 +58,7 @@
     }
 }
 
-void take_line(reading& r, const log_line& line)
+void take_line(log_replay& r, const log_line& line)
 {
     auto& state = r.state;
     ++state.lines;
@@ -93,7 +93,7 @@
 result<logged_host_state> read_host_state(const log_source& logs, const std::string& host,
                                           log_time at)
 {
-    reading r;
+    log_replay r;
     r.state.host = host;
     bool is_over = false;
     log_time latest{0};
