--- a/source/trace/belief.cpp
+++ b/source/trace/belief.cpp
@@ -58,7 +58,7 @@
     }
 }
 
-void take_line(log_replay& r, const log_line& line)
+void apply_line(log_replay& r, const log_line& line)
 {
     auto& state = r.state;
     ++state.lines;
@@ -109,7 +109,7 @@
         latest = line->time;
         is_over = is_over || line->time > at;
         if (!is_over) {
-            take_line(r, *line);
+            apply_line(r, *line);
         }
     });
     if (!succeeded(read)) {
