--- a/source/trace/belief.cpp
+++ b/source/trace/belief.cpp
@@ -16,7 +16,7 @@
     return line.time_text + " " + std::string(field_of(line, "summary"));
 }
 
-void take_start(log_replay& r, const log_line& line)
+void apply_start(log_replay& r, const log_line& line)
 {
     const auto host = r.state.host;
     const auto lines = r.state.lines;
@@ -63,7 +63,7 @@
     auto& state = r.state;
     ++state.lines;
     if (line.event == "started") {
-        take_start(r, line);
+        apply_start(r, line);
     } else if (line.event == "adopt_fleet") {
         state.generation = decision_text(line);
     } else if (line.event == "store_away" || line.event == "store_answers") {
