--- a/source/trace/belief.cpp
+++ b/source/trace/belief.cpp
@@ -47,7 +47,7 @@
     }
 }
 
-void take_stage(logged_host_state& state, const log_line& line)
+void apply_stage(logged_host_state& state, const log_line& line)
 {
     if (line.event == "start_serving") {
         state.stage = "serving";
@@ -83,7 +83,7 @@
         state.quarantined.erase(std::string(input_of(line, "fingerprint")));
     } else {
         take_about_target(r, line);
-        take_stage(state, line);
+        apply_stage(state, line);
     }
     state.targets_listed = r.listed.size();
 }
