--- a/source/trace/belief.cpp
+++ b/source/trace/belief.cpp
@@ -29,7 +29,7 @@
     r.state.since = line.time_text;
 }
 
-void take_about_target(log_replay& r, const log_line& line)
+void apply_target_decision(log_replay& r, const log_line& line)
 {
     const std::string target(input_of(line, "target"));
     if (line.event == "target_listed") {
@@ -82,7 +82,7 @@
     } else if (line.event == "release_request") {
         state.quarantined.erase(std::string(input_of(line, "fingerprint")));
     } else {
-        take_about_target(r, line);
+        apply_target_decision(r, line);
         apply_stage(state, line);
     }
     state.targets_listed = r.listed.size();
