--- a/source/almondquay/log_commands.cpp
+++ b/source/almondquay/log_commands.cpp
@@ -78,7 +78,7 @@
     return lines;
 }
 
-void print_story(const request_story& story, const request_cause& cause)
+void print_story(const request_trace& story, const request_cause& cause)
 {
     std::cout << "cause: " << cause.text << '\n';
     if (!cause.result.empty()) {
--- a/source/trace/request_cause.cpp
+++ b/source/trace/request_cause.cpp
@@ -42,7 +42,7 @@
 
 /// The attempt that caused the result. It need not be the last one: if an earlier attempt may have
 /// run, a later one that did not run does not change the outcome.
-const log_line* deciding_attempt(const request_story& story, const log_line& end)
+const log_line* deciding_attempt(const request_trace& story, const log_line& end)
 {
     const auto result = field_of(end, "result");
     const auto found =
@@ -53,7 +53,7 @@
 }
 
 /// The host's first decision about the target after an attempt; it reveals a crash of the target.
-const log_line* next_about(const request_story& story, const log_line& attempt)
+const log_line* next_about(const request_trace& story, const log_line& attempt)
 {
     constexpr std::array kinds{"target_gone", "target_listed", "eject_target", "leave_out_target"};
     const auto found = std::ranges::find_if(story.context, [&](const log_line& line) {
@@ -65,7 +65,7 @@
 }
 
 /// The same host's latest decision of one of these kinds before a line.
-const log_line* latest_before(const request_story& story, const log_line& line,
+const log_line* latest_before(const request_trace& story, const log_line& line,
                               std::initializer_list<std::string_view> kinds)
 {
     const log_line* latest = nullptr;
@@ -78,7 +78,7 @@
     return latest;
 }
 
-std::string after_text(const request_story& story, const log_line& attempt)
+std::string after_text(const request_trace& story, const log_line& attempt)
 {
     const auto* next = next_about(story, attempt);
     if (next == nullptr) {
@@ -91,7 +91,7 @@
 }
 
 /// Reports lost contact with the store, since the host may then act on outdated data.
-std::string store_text(const request_story& story, const log_line& line)
+std::string store_text(const request_trace& story, const log_line& line)
 {
     const auto* latest = latest_before(story, line, {"store_away", "store_answers"});
     const bool is_away = latest != nullptr && latest->event == "store_away";
@@ -120,7 +120,7 @@
            text_of(field_of(a, "waiting")) + " requests waiting.";
 }
 
-std::string attempt_text(const request_story& story, std::string_view result, const log_line& a)
+std::string attempt_text(const request_trace& story, std::string_view result, const log_line& a)
 {
     const auto target = "Target " + text_of(field_of(a, "target"));
     const auto took = milliseconds_text(field_of(a, "took_ms"));
@@ -168,7 +168,7 @@
     return found == table.end() ? ok : found->code;
 }
 
-std::string refusal_text(const request_story& story, const log_line& end, result_code code)
+std::string refusal_text(const request_trace& story, const log_line& end, result_code code)
 {
     if (code == request_quarantined) {
         const auto* decided = latest_before(story, end, {"quarantine_request"});
@@ -187,7 +187,7 @@
     return text_of(meaning_of(code)) + store_text(story, end);
 }
 
-std::string dropped_text(const request_story& story)
+std::string dropped_text(const request_trace& story)
 {
     std::string text = "No log line has this request id.";
     for (const auto& [host, lines] : story.dropped) {
@@ -197,7 +197,7 @@
 }
 
 /// The number of failed attempts other than the decisive one.
-std::string others_text(const request_story& story, const log_line* deciding)
+std::string others_text(const request_trace& story, const log_line* deciding)
 {
     const auto failed = std::ranges::count_if(story.lines, [&](const log_line& line) {
         return line.event == "attempt_failed" && &line != deciding;
@@ -212,7 +212,7 @@
 
 } // namespace
 
-request_cause find_cause(const request_story& story)
+request_cause find_cause(const request_trace& story)
 {
     request_cause cause;
     if (story.lines.empty()) {
--- a/source/trace/request_story.cpp
+++ b/source/trace/request_story.cpp
@@ -99,9 +99,9 @@
 
 } // namespace
 
-result<request_story> read_story(const log_source& logs, const std::string& id)
+result<request_trace> read_story(const log_source& logs, const std::string& id)
 {
-    request_story story;
+    request_trace story;
     story.id = id;
     std::map<std::string, std::vector<log_line>> by_host;
     std::size_t count = 0;
--- a/source/trace/request_story.h
+++ b/source/trace/request_story.h
@@ -10,7 +10,7 @@
 /// Collects the log lines of all hosts about one request.
 namespace almondquay {
 
-struct request_story {
+struct request_trace {
     std::string id;
     /// Lines with the request's id, in the order of events: lines of one host keep their order even
     /// if its clock jumps; those of several hosts are merged by time.
@@ -30,6 +30,6 @@
 constexpr std::size_t max_story_lines = 500;
 
 /// Reads the logs twice: first for the request, then for its context. Errors: text_unreadable.
-result<request_story> read_story(const log_source& logs, const std::string& id);
+result<request_trace> read_story(const log_source& logs, const std::string& id);
 
 } // namespace almondquay
