--- a/source/almondquay/log_commands.cpp
+++ b/source/almondquay/log_commands.cpp
@@ -149,7 +149,7 @@
     if (!succeeded(logs)) {
         return complain(error_of(logs));
     }
-    const auto story = read_story(value_of(logs), c.subject);
+    const auto story = read_request_trace(value_of(logs), c.subject);
     if (!succeeded(story)) {
         return complain(error_of(story));
     }
--- a/source/trace/request_story.cpp
+++ b/source/trace/request_story.cpp
@@ -99,7 +99,7 @@
 
 } // namespace
 
-result<request_trace> read_story(const log_source& logs, const std::string& id)
+result<request_trace> read_request_trace(const log_source& logs, const std::string& id)
 {
     request_trace story;
     story.id = id;
--- a/source/trace/request_story.h
+++ b/source/trace/request_story.h
@@ -30,6 +30,6 @@
 constexpr std::size_t max_story_lines = 500;
 
 /// Reads the logs twice: first for the request, then for its context. Errors: text_unreadable.
-result<request_trace> read_story(const log_source& logs, const std::string& id);
+result<request_trace> read_request_trace(const log_source& logs, const std::string& id);
 
 } // namespace almondquay
--- a/unit_tests/trace/trace_test.cpp
+++ b/unit_tests/trace/trace_test.cpp
@@ -54,7 +54,7 @@
 
 request_cause cause_in(const log_folder& logs, const std::string& id)
 {
-    return find_cause(value_of(read_story(logs.open(), id)));
+    return find_cause(value_of(read_request_trace(logs.open(), id)));
 }
 
 log_time at(const std::string& second)
@@ -123,7 +123,7 @@
                        line("03", "a", "request_ended request=r result=target_shed")},
              {"b", line("02", "b", "attempt_failed request=r target=t2 result=target_shed") +
                        line("04", "b", "request_ended request=r result=ok outcome=ran")}});
-        const auto story = value_of(read_story(logs.open(), "r"));
+        const auto story = value_of(read_request_trace(logs.open(), "r"));
         std::string hosts;
         for (const auto& l : story.lines) {
             hosts += l.process;
