--- a/source/trace/request_story.cpp
+++ b/source/trace/request_story.cpp
@@ -107,7 +107,7 @@
     std::size_t count = 0;
     const auto first = logs.each_line([&](std::string_view text) {
         const bool may_name_request =
-            count < max_story_lines && text.find(id) != std::string_view::npos;
+            count < max_trace_lines && text.find(id) != std::string_view::npos;
         const bool may_tell_dropped = text.find(dropped_event) != std::string_view::npos;
         if (!may_name_request && !may_tell_dropped) {
             return;
@@ -129,7 +129,7 @@
     std::map<std::string, std::vector<log_line>> context;
     count = 0;
     const auto second = logs.each_line([&](std::string_view text) {
-        if (spans.empty() || count >= max_story_lines || !may_be_decision(text)) {
+        if (spans.empty() || count >= max_trace_lines || !may_be_decision(text)) {
             return;
         }
         auto line = parse_log_line(text);
--- a/source/trace/request_story.h
+++ b/source/trace/request_story.h
@@ -27,7 +27,7 @@
 /// Decisions up to this long after its last line, since the effects of a crash are logged later.
 constexpr std::chrono::seconds context_after{10};
 /// Limit of the request's lines and of its context lines; more would be of no use to a reader.
-constexpr std::size_t max_story_lines = 500;
+constexpr std::size_t max_trace_lines = 500;
 
 /// Reads the logs twice: first for the request, then for its context. Errors: text_unreadable.
 result<request_trace> read_request_trace(const log_source& logs, const std::string& id);
