--- a/source/trace/request_cause.cpp
+++ b/source/trace/request_cause.cpp
@@ -42,34 +42,34 @@
 
 /// The attempt that caused the result. It need not be the last one: if an earlier attempt may have
 /// run, a later one that did not run does not change the outcome.
-const log_line* deciding_attempt(const request_trace& story, const log_line& end)
+const log_line* deciding_attempt(const request_trace& trace, const log_line& end)
 {
     const auto result = field_of(end, "result");
     const auto found =
-        std::find_if(story.lines.rbegin(), story.lines.rend(), [&](const log_line& line) {
+        std::find_if(trace.lines.rbegin(), trace.lines.rend(), [&](const log_line& line) {
             return line.process == end.process && decides(line, result);
         });
-    return found == story.lines.rend() ? nullptr : &*found;
+    return found == trace.lines.rend() ? nullptr : &*found;
 }
 
 /// The host's first decision about the target after an attempt; it reveals a crash of the target.
-const log_line* next_about(const request_trace& story, const log_line& attempt)
+const log_line* next_about(const request_trace& trace, const log_line& attempt)
 {
     constexpr std::array kinds{"target_gone", "target_listed", "eject_target", "leave_out_target"};
-    const auto found = std::ranges::find_if(story.context, [&](const log_line& line) {
+    const auto found = std::ranges::find_if(trace.context, [&](const log_line& line) {
         return line.process == attempt.process && line.time >= attempt.time &&
                input_of(line, "target") == field_of(attempt, "target") &&
                std::ranges::find(kinds, line.event) != kinds.end();
     });
-    return found == story.context.end() ? nullptr : &*found;
+    return found == trace.context.end() ? nullptr : &*found;
 }
 
 /// The same host's latest decision of one of these kinds before a line.
-const log_line* latest_before(const request_trace& story, const log_line& line,
+const log_line* latest_before(const request_trace& trace, const log_line& line,
                               std::initializer_list<std::string_view> kinds)
 {
     const log_line* latest = nullptr;
-    for (const auto& c : story.context) {
+    for (const auto& c : trace.context) {
         if (c.process == line.process && c.time <= line.time &&
             std::ranges::find(kinds, c.event) != kinds.end()) {
             latest = &c;
@@ -78,9 +78,9 @@
     return latest;
 }
 
-std::string after_text(const request_trace& story, const log_line& attempt)
+std::string after_text(const request_trace& trace, const log_line& attempt)
 {
-    const auto* next = next_about(story, attempt);
+    const auto* next = next_about(trace, attempt);
     if (next == nullptr) {
         return "";
     }
@@ -91,9 +91,9 @@
 }
 
 /// Reports lost contact with the store, since the host may then act on outdated data.
-std::string store_text(const request_trace& story, const log_line& line)
+std::string store_text(const request_trace& trace, const log_line& line)
 {
-    const auto* latest = latest_before(story, line, {"store_away", "store_answers"});
+    const auto* latest = latest_before(trace, line, {"store_away", "store_answers"});
     const bool is_away = latest != nullptr && latest->event == "store_away";
     return is_away ? " The host had been unable to reach the store since " + latest->time_text + "."
                    : "";
@@ -120,7 +120,7 @@
            text_of(field_of(a, "waiting")) + " requests waiting.";
 }
 
-std::string attempt_text(const request_trace& story, std::string_view result, const log_line& a)
+std::string attempt_text(const request_trace& trace, std::string_view result, const log_line& a)
 {
     const auto target = "Target " + text_of(field_of(a, "target"));
     const auto took = milliseconds_text(field_of(a, "took_ms"));
@@ -131,15 +131,15 @@
         return shed_text(a);
     }
     if (result == name_of(deadline_passed)) {
-        return target + " did not answer within " + took + "." + after_text(story, a);
+        return target + " did not answer within " + took + "." + after_text(trace, a);
     }
     if (result == name_of(target_unreachable)) {
-        return target + " did not accept the connection." + after_text(story, a) +
-               store_text(story, a);
+        return target + " did not accept the connection." + after_text(trace, a) +
+               store_text(trace, a);
     }
     if (result == name_of(target_answer_lost)) {
         return target + " closed the connection after " + took + " without a complete answer." +
-               after_text(story, a);
+               after_text(trace, a);
     }
     if (result == name_of(target_answer_malformed)) {
         return target + " sent a malformed answer after " + took + ".";
@@ -149,7 +149,7 @@
     }
     if (result == name_of(target_replaced)) {
         return "Another target had taken the address of target " + text_of(field_of(a, "target")) +
-               "." + store_text(story, a);
+               "." + store_text(trace, a);
     }
     if (result == name_of(target_withdrawn)) {
         return target + " was withdrawn while the connection was made.";
@@ -168,38 +168,38 @@
     return found == table.end() ? ok : found->code;
 }
 
-std::string refusal_text(const request_trace& story, const log_line& end, result_code code)
+std::string refusal_text(const request_trace& trace, const log_line& end, result_code code)
 {
     if (code == request_quarantined) {
-        const auto* decided = latest_before(story, end, {"quarantine_request"});
+        const auto* decided = latest_before(trace, end, {"quarantine_request"});
         return decided == nullptr ? text_of(meaning_of(code))
                                   : text_of(field_of(*decided, "summary"));
     }
     if (code == host_not_ready) {
-        const auto* started = latest_before(story, end, {"started", "start_serving"});
+        const auto* started = latest_before(trace, end, {"started", "start_serving"});
         return text_of(meaning_of(code)) +
                (started == nullptr ? "" : " The host had started at " + started->time_text + ".") +
-               store_text(story, end);
+               store_text(trace, end);
     }
     if (code == caller_gone) {
         return "The caller disconnected before the request was sent to a target.";
     }
-    return text_of(meaning_of(code)) + store_text(story, end);
+    return text_of(meaning_of(code)) + store_text(trace, end);
 }
 
-std::string dropped_text(const request_trace& story)
+std::string dropped_text(const request_trace& trace)
 {
     std::string text = "No log line has this request id.";
-    for (const auto& [host, lines] : story.dropped) {
+    for (const auto& [host, lines] : trace.dropped) {
         text += " " + host + " dropped " + std::to_string(lines) + " log lines about failures.";
     }
     return text;
 }
 
 /// The number of failed attempts other than the decisive one.
-std::string others_text(const request_trace& story, const log_line* deciding)
+std::string others_text(const request_trace& trace, const log_line* deciding)
 {
-    const auto failed = std::ranges::count_if(story.lines, [&](const log_line& line) {
+    const auto failed = std::ranges::count_if(trace.lines, [&](const log_line& line) {
         return line.event == "attempt_failed" && &line != deciding;
     });
     if (failed == 0) {
@@ -212,15 +212,15 @@
 
 } // namespace
 
-request_cause find_cause(const request_trace& story)
+request_cause find_cause(const request_trace& trace)
 {
     request_cause cause;
-    if (story.lines.empty()) {
-        cause.text = dropped_text(story);
+    if (trace.lines.empty()) {
+        cause.text = dropped_text(trace);
         return cause;
     }
-    const auto* end = last_end(story.lines);
-    const auto& last = end != nullptr ? *end : story.lines.back();
+    const auto* end = last_end(trace.lines);
+    const auto& last = end != nullptr ? *end : trace.lines.back();
     cause.host = last.process;
     cause.result = text_of(field_of(last, "result"));
     cause.outcome = text_of(field_of(last, "outcome"));
@@ -232,14 +232,14 @@
     }
     const auto code = code_named(cause.result);
     if (code == ok) {
-        cause.text = "The request succeeded." + others_text(story, nullptr);
+        cause.text = "The request succeeded." + others_text(trace, nullptr);
         return cause;
     }
-    if (const auto* attempt = deciding_attempt(story, *end); attempt != nullptr) {
+    if (const auto* attempt = deciding_attempt(trace, *end); attempt != nullptr) {
         cause.target = text_of(field_of(*attempt, "target"));
-        cause.text = attempt_text(story, cause.result, *attempt) + others_text(story, attempt);
+        cause.text = attempt_text(trace, cause.result, *attempt) + others_text(trace, attempt);
     } else {
-        cause.text = refusal_text(story, *end, code) + others_text(story, nullptr);
+        cause.text = refusal_text(trace, *end, code) + others_text(trace, nullptr);
     }
     return cause;
 }
--- a/source/trace/request_cause.h
+++ b/source/trace/request_cause.h
@@ -15,6 +15,6 @@
     std::string text;    ///< one or two sentences for the operator
 };
 
-request_cause find_cause(const request_trace& story);
+request_cause find_cause(const request_trace& trace);
 
 } // namespace almondquay
--- a/source/trace/request_story.cpp
+++ b/source/trace/request_story.cpp
@@ -101,8 +101,8 @@
 
 result<request_trace> read_request_trace(const log_source& logs, const std::string& id)
 {
-    request_trace story;
-    story.id = id;
+    request_trace trace;
+    trace.id = id;
     std::map<std::string, std::vector<log_line>> by_host;
     std::size_t count = 0;
     const auto first = logs.each_line([&](std::string_view text) {
@@ -114,7 +114,7 @@
         }
         auto line = parse_log_line(text);
         if (line && line->event == dropped_event) {
-            story.dropped[line->process] += number_in(*line, "lines");
+            trace.dropped[line->process] += number_in(*line, "lines");
         } else if (line && may_name_request && field_of(*line, "request") == id) {
             ++count;
             by_host[line->process].push_back(std::move(*line));
@@ -123,9 +123,9 @@
     if (!succeeded(first)) {
         return error_of(first);
     }
-    story.lines = merged(by_host);
-    const auto spans = spans_of(story.lines);
-    const auto targets = targets_of(story.lines);
+    trace.lines = merged(by_host);
+    const auto spans = spans_of(trace.lines);
+    const auto targets = targets_of(trace.lines);
     std::map<std::string, std::vector<log_line>> context;
     count = 0;
     const auto second = logs.each_line([&](std::string_view text) {
@@ -141,8 +141,8 @@
     if (!succeeded(second)) {
         return error_of(second);
     }
-    story.context = merged(context);
-    return story;
+    trace.context = merged(context);
+    return trace;
 }
 
 } // namespace almondquay
--- a/unit_tests/trace/trace_test.cpp
+++ b/unit_tests/trace/trace_test.cpp
@@ -123,13 +123,13 @@
                        line("03", "a", "request_ended request=r result=target_shed")},
              {"b", line("02", "b", "attempt_failed request=r target=t2 result=target_shed") +
                        line("04", "b", "request_ended request=r result=ok outcome=ran")}});
-        const auto story = value_of(read_request_trace(logs.open(), "r"));
+        const auto trace = value_of(read_request_trace(logs.open(), "r"));
         std::string hosts;
-        for (const auto& l : story.lines) {
+        for (const auto& l : trace.lines) {
             hosts += l.process;
         }
         CPPUNIT_ASSERT_EQUAL(std::string("abab"), hosts);
-        CPPUNIT_ASSERT_EQUAL(std::string("ok"), find_cause(story).result);
+        CPPUNIT_ASSERT_EQUAL(std::string("ok"), find_cause(trace).result);
     }
 
     void lines_of_one_host_keep_their_order_when_its_clock_jumps()
