--- a/source/trace/belief.cpp
+++ b/source/trace/belief.cpp
@@ -97,7 +97,7 @@
     r.state.host = host;
     bool is_over = false;
     log_time latest{0};
-    const auto read = logs.each_line([&](std::string_view text) {
+    const auto read = logs.for_each_line([&](std::string_view text) {
         if (text.find(host) == std::string_view::npos) {
             return;
         }
--- a/source/trace/log_source.cpp
+++ b/source/trace/log_source.cpp
@@ -110,7 +110,7 @@
     return *this;
 }
 
-result<done> log_source::each_line(const std::function<void(std::string_view)>& take) const
+result<done> log_source::for_each_line(const std::function<void(std::string_view)>& take) const
 {
     std::vector<char> buffer(buffer_bytes);
     std::uintmax_t read = 0;
--- a/source/trace/log_source.h
+++ b/source/trace/log_source.h
@@ -24,7 +24,7 @@
     /// Calls `take` for each line, file by file; the files of a directory are sorted by name. Only
     /// one line is held in memory. `progress`, if set, is called periodically with the bytes read.
     /// Errors: text_unreadable.
-    result<done> each_line(const std::function<void(std::string_view)>& take) const;
+    result<done> for_each_line(const std::function<void(std::string_view)>& take) const;
 
     std::function<void(std::uintmax_t)> progress;
 
--- a/source/trace/request_story.cpp
+++ b/source/trace/request_story.cpp
@@ -105,7 +105,7 @@
     trace.id = id;
     std::map<std::string, std::vector<log_line>> by_host;
     std::size_t count = 0;
-    const auto first = logs.each_line([&](std::string_view text) {
+    const auto first = logs.for_each_line([&](std::string_view text) {
         const bool may_name_request =
             count < max_trace_lines && text.find(id) != std::string_view::npos;
         const bool may_tell_dropped = text.find(dropped_event) != std::string_view::npos;
@@ -128,7 +128,7 @@
     const auto targets = targets_of(trace.lines);
     std::map<std::string, std::vector<log_line>> context;
     count = 0;
-    const auto second = logs.each_line([&](std::string_view text) {
+    const auto second = logs.for_each_line([&](std::string_view text) {
         if (spans.empty() || count >= max_trace_lines || !may_be_decision(text)) {
             return;
         }
