--- a/source/trace/request_cause.cpp
+++ b/source/trace/request_cause.cpp
@@ -42,7 +42,7 @@
 
 /// The attempt that caused the result. It need not be the last one: if an earlier attempt may have
 /// run, a later one that did not run does not change the outcome.
-const log_line* deciding_attempt(const request_trace& trace, const log_line& end)
+const log_line* decisive_attempt(const request_trace& trace, const log_line& end)
 {
     const auto result = field_of(end, "result");
     const auto found =
@@ -235,7 +235,7 @@
         cause.text = "The request succeeded." + others_text(trace, nullptr);
         return cause;
     }
-    if (const auto* attempt = deciding_attempt(trace, *end); attempt != nullptr) {
+    if (const auto* attempt = decisive_attempt(trace, *end); attempt != nullptr) {
         cause.target = text_of(field_of(*attempt, "target"));
         cause.text = attempt_text(trace, cause.result, *attempt) + others_text(trace, attempt);
     } else {
