--- a/source/trace/request_cause.cpp
+++ b/source/trace/request_cause.cpp
@@ -17,7 +17,7 @@
 }
 
 /// Whether a line explains why a request ended with this result.
-bool decides(const log_line& line, std::string_view result)
+bool explains_result(const log_line& line, std::string_view result)
 {
     return line.event == "attempt_failed"
                ? field_of(line, "result") == result
@@ -47,7 +47,7 @@
     const auto result = field_of(end, "result");
     const auto found =
         std::find_if(trace.lines.rbegin(), trace.lines.rend(), [&](const log_line& line) {
-            return line.process == end.process && decides(line, result);
+            return line.process == end.process && explains_result(line, result);
         });
     return found == trace.lines.rend() ? nullptr : &*found;
 }
