--- a/source/trace/request_cause.cpp
+++ b/source/trace/request_cause.cpp
@@ -78,7 +78,7 @@
     return latest;
 }
 
-std::string after_text(const request_trace& trace, const log_line& attempt)
+std::string later_decision_text(const request_trace& trace, const log_line& attempt)
 {
     const auto* next = next_about(trace, attempt);
     if (next == nullptr) {
@@ -131,15 +131,15 @@
         return shed_text(a);
     }
     if (result == name_of(deadline_passed)) {
-        return target + " did not answer within " + took + "." + after_text(trace, a);
+        return target + " did not answer within " + took + "." + later_decision_text(trace, a);
     }
     if (result == name_of(target_unreachable)) {
-        return target + " did not accept the connection." + after_text(trace, a) +
+        return target + " did not accept the connection." + later_decision_text(trace, a) +
                store_text(trace, a);
     }
     if (result == name_of(target_answer_lost)) {
         return target + " closed the connection after " + took + " without a complete answer." +
-               after_text(trace, a);
+               later_decision_text(trace, a);
     }
     if (result == name_of(target_answer_malformed)) {
         return target + " sent a malformed answer after " + took + ".";
