--- a/source/trace/request_cause.cpp
+++ b/source/trace/request_cause.cpp
@@ -197,7 +197,7 @@
 }
 
 /// The number of failed attempts other than the decisive one.
-std::string others_text(const request_trace& trace, const log_line* deciding)
+std::string other_failures_text(const request_trace& trace, const log_line* deciding)
 {
     const auto failed = std::ranges::count_if(trace.lines, [&](const log_line& line) {
         return line.event == "attempt_failed" && &line != deciding;
@@ -232,14 +232,15 @@
     }
     const auto code = code_named(cause.result);
     if (code == ok) {
-        cause.text = "The request succeeded." + others_text(trace, nullptr);
+        cause.text = "The request succeeded." + other_failures_text(trace, nullptr);
         return cause;
     }
     if (const auto* attempt = decisive_attempt(trace, *end); attempt != nullptr) {
         cause.target = text_of(field_of(*attempt, "target"));
-        cause.text = attempt_text(trace, cause.result, *attempt) + others_text(trace, attempt);
+        cause.text =
+            attempt_text(trace, cause.result, *attempt) + other_failures_text(trace, attempt);
     } else {
-        cause.text = refusal_text(trace, *end, code) + others_text(trace, nullptr);
+        cause.text = refusal_text(trace, *end, code) + other_failures_text(trace, nullptr);
     }
     return cause;
 }
