--- a/source/trace/request_cause.cpp
+++ b/source/trace/request_cause.cpp
@@ -53,7 +53,7 @@
 }
 
 /// The host's first decision about the target after an attempt; it reveals a crash of the target.
-const log_line* next_about(const request_trace& trace, const log_line& attempt)
+const log_line* next_decision_about_target(const request_trace& trace, const log_line& attempt)
 {
     constexpr std::array kinds{"target_gone", "target_listed", "eject_target", "leave_out_target"};
     const auto found = std::ranges::find_if(trace.context, [&](const log_line& line) {
@@ -80,7 +80,7 @@
 
 std::string later_decision_text(const request_trace& trace, const log_line& attempt)
 {
-    const auto* next = next_about(trace, attempt);
+    const auto* next = next_decision_about_target(trace, attempt);
     if (next == nullptr) {
         return "";
     }
