--- a/source/almondquay/host_commands.cpp
+++ b/source/almondquay/host_commands.cpp
@@ -152,7 +152,7 @@
     if (!succeeded(merged)) {
         return complain(error_of(merged));
     }
-    const auto chain = causes_of(value_of(merged), c.subject);
+    const auto chain = causal_chain(value_of(merged), c.subject);
     if (!succeeded(chain)) {
         return complain(error_of(chain));
     }
--- a/source/timeline/explain.cpp
+++ b/source/timeline/explain.cpp
@@ -42,7 +42,8 @@
     return merged;
 }
 
-result<std::vector<decision>> causes_of(const std::vector<decision>& merged, const std::string& id)
+result<std::vector<decision>> causal_chain(const std::vector<decision>& merged,
+                                           const std::string& id)
 {
     std::map<std::string, const decision*> by_id;
     for (const auto& d : merged) {
--- a/source/timeline/explain.h
+++ b/source/timeline/explain.h
@@ -11,7 +11,8 @@
 std::vector<decision> merge_timelines(std::vector<std::vector<decision>> records);
 
 /// A decision preceded by all its direct and indirect causes. Errors: decision_unknown.
-result<std::vector<decision>> causes_of(const std::vector<decision>& merged, const std::string& id);
+result<std::vector<decision>> causal_chain(const std::vector<decision>& merged,
+                                           const std::string& id);
 
 /// Formats the chain for operators: time, host, summary, rule, inputs and causes of each decision.
 std::string explain(const std::vector<decision>& chain);
--- a/unit_tests/timeline/timeline_test.cpp
+++ b/unit_tests/timeline/timeline_test.cpp
@@ -45,12 +45,12 @@
     {
         const auto merged = merge_timelines(
             {{make("a", 1), make("x", 2), make("b", 3, {"a"}), make("c", 4, {"b", "lost"})}});
-        const auto chain = causes_of(merged, "c");
+        const auto chain = causal_chain(merged, "c");
         CPPUNIT_ASSERT_EQUAL(std::size_t{3}, value_of(chain).size());
         const auto text = explain(value_of(chain));
         CPPUNIT_ASSERT(text.find("rule: the rule") != std::string::npos);
         CPPUNIT_ASSERT(text.find("because of: b") != std::string::npos);
-        CPPUNIT_ASSERT(code_of(causes_of(merged, "nobody")) == result_code::decision_unknown);
+        CPPUNIT_ASSERT(code_of(causal_chain(merged, "nobody")) == result_code::decision_unknown);
         CPPUNIT_ASSERT_EQUAL(std::string("2026-03-11T02:14:07.120Z"),
                              format_time({1'773'195'247'120, 0}));
     }
