--- a/source/almondquay/host_commands.cpp
+++ b/source/almondquay/host_commands.cpp
@@ -156,7 +156,7 @@
     if (!succeeded(chain)) {
         return complain(error_of(chain));
     }
-    std::cout << (c.json ? encode(value_of(chain)) + "\n" : explain(value_of(chain)));
+    std::cout << (c.json ? encode(value_of(chain)) + "\n" : format_decision_chain(value_of(chain)));
     return result_code::ok;
 }
 
--- a/source/timeline/explain.cpp
+++ b/source/timeline/explain.cpp
@@ -69,7 +69,7 @@
     return std::string(date.data()) + "." + ms.substr(1) + "Z";
 }
 
-std::string explain(const std::vector<decision>& chain)
+std::string format_decision_chain(const std::vector<decision>& chain)
 {
     std::string text;
     for (const auto& d : chain) {
--- a/source/timeline/explain.h
+++ b/source/timeline/explain.h
@@ -15,7 +15,7 @@
                                            const std::string& id);
 
 /// Formats the chain for operators: time, host, summary, rule, inputs and causes of each decision.
-std::string explain(const std::vector<decision>& chain);
+std::string format_decision_chain(const std::vector<decision>& chain);
 
 /// "2026-03-11T02:14:07.120Z".
 std::string format_time(hybrid_time time);
--- a/unit_tests/timeline/timeline_test.cpp
+++ b/unit_tests/timeline/timeline_test.cpp
@@ -47,7 +47,7 @@
             {{make("a", 1), make("x", 2), make("b", 3, {"a"}), make("c", 4, {"b", "lost"})}});
         const auto chain = causal_chain(merged, "c");
         CPPUNIT_ASSERT_EQUAL(std::size_t{3}, value_of(chain).size());
-        const auto text = explain(value_of(chain));
+        const auto text = format_decision_chain(value_of(chain));
         CPPUNIT_ASSERT(text.find("rule: the rule") != std::string::npos);
         CPPUNIT_ASSERT(text.find("because of: b") != std::string::npos);
         CPPUNIT_ASSERT(code_of(causal_chain(merged, "nobody")) == result_code::decision_unknown);
