--- a/source/logging/line_writer.cpp
+++ b/source/logging/line_writer.cpp
@@ -22,7 +22,7 @@
 
 } // namespace
 
-bool never_wait(const line_writer& w)
+bool set_nonblocking(const line_writer& w)
 {
     struct stat about {};
     if (::fstat(w.descriptor, &about) != 0) {
--- a/source/logging/line_writer.h
+++ b/source/logging/line_writer.h
@@ -16,7 +16,7 @@
 
 /// Sets a pipe or socket to non-blocking mode. Files are left unchanged, and so are terminals,
 /// whose mode is shared with other programs. Returns false if the mode cannot be set.
-bool never_wait(const line_writer& w);
+bool set_nonblocking(const line_writer& w);
 
 /// Writes a line, which must end in a line feed, or drops and counts it if the write would block. A
 /// partly written line is completed before the next one.
--- a/source/logging/log.cpp
+++ b/source/logging/log.cpp
@@ -82,7 +82,7 @@
 {
     process_name() = std::move(process);
     const line_writer writer{STDOUT_FILENO, 0, {}};
-    const bool never_waits = never_wait(writer);
+    const bool never_waits = set_nonblocking(writer);
     auto backend = boost::make_shared<output_backend>(writer);
     auto sink = boost::make_shared<sinks::synchronous_sink<output_backend>>(backend);
     boost::log::core::get()->remove_all_sinks();
--- a/unit_tests/logging/line_writer_test.cpp
+++ b/unit_tests/logging/line_writer_test.cpp
@@ -61,7 +61,7 @@
         constexpr int lines = 10'000; // Exceeds the capacity of a pipe.
         lazy_reader reader;
         line_writer w{reader.writable_end(), 0, {}};
-        CPPUNIT_ASSERT(never_wait(w));
+        CPPUNIT_ASSERT(set_nonblocking(w));
         for (int i = 0; i < lines; ++i) {
             write_line(w, line_of(99));
         }
@@ -79,7 +79,7 @@
         constexpr std::size_t longer_than_a_pipe = 200'000;
         lazy_reader reader;
         line_writer w{reader.writable_end(), 0, {}};
-        CPPUNIT_ASSERT(never_wait(w));
+        CPPUNIT_ASSERT(set_nonblocking(w));
         write_line(w, line_of(longer_than_a_pipe));
         std::string text;
         for (int i = 0; i < 8; ++i) {
