--- a/source/logging/log.cpp
+++ b/source/logging/log.cpp
@@ -82,13 +82,13 @@
 {
     process_name() = std::move(process);
     const line_writer writer{STDOUT_FILENO, 0, {}};
-    const bool never_waits = set_nonblocking(writer);
+    const bool is_nonblocking = set_nonblocking(writer);
     auto backend = boost::make_shared<output_backend>(writer);
     auto sink = boost::make_shared<sinks::synchronous_sink<output_backend>>(backend);
     boost::log::core::get()->remove_all_sinks();
     boost::log::core::get()->add_sink(sink);
     set_level(lowest);
-    if (!never_waits) {
+    if (!is_nonblocking) {
         write(level::warning, "log_output_may_wait", {{"why", std::strerror(errno)}});
     }
 }
