--- a/source/logging/log.cpp
+++ b/source/logging/log.cpp
@@ -46,7 +46,7 @@
     return trivial::error;
 }
 
-std::string head_of(std::string_view severity, std::string_view event)
+std::string line_prefix(std::string_view severity, std::string_view event)
 {
     const auto now = boost::posix_time::microsec_clock::universal_time();
     std::string head = "time=" + boost::posix_time::to_iso_extended_string(now) + "Z level=";
@@ -67,7 +67,7 @@
         const auto before = writer_.dropped;
         write_line(writer_, line + "\n");
         if (before != 0 && writer_.dropped == 0) {
-            write_line(writer_, head_of("warning", "log_output_behind") +
+            write_line(writer_, line_prefix("warning", "log_output_behind") +
                                     " lines=" + std::to_string(before) + "\n");
         }
     }
@@ -108,7 +108,7 @@
         return;
     }
     boost::log::record_ostream stream(record);
-    stream << head_of(boost::log::trivial::to_string(severity), event);
+    stream << line_prefix(boost::log::trivial::to_string(severity), event);
     for (const auto& f : fields) {
         stream << ' ' << f.key << '=' << quoted_value(f.value);
     }
