--- a/unit_tests/logging/line_writer_test.cpp
+++ b/unit_tests/logging/line_writer_test.cpp
@@ -13,16 +13,16 @@
 namespace {
 
 /// A pipe that is not read until read_all() is called.
-class lazy_reader {
+class stalled_reader {
 public:
-    lazy_reader() { CPPUNIT_ASSERT_EQUAL(0, ::pipe(ends_.data())); }
-    ~lazy_reader()
+    stalled_reader() { CPPUNIT_ASSERT_EQUAL(0, ::pipe(ends_.data())); }
+    ~stalled_reader()
     {
         ::close(ends_[0]);
         ::close(ends_[1]);
     }
-    lazy_reader(const lazy_reader&) = delete;
-    lazy_reader& operator=(const lazy_reader&) = delete;
+    stalled_reader(const stalled_reader&) = delete;
+    stalled_reader& operator=(const stalled_reader&) = delete;
 
     int writable_end() const { return ends_[1]; }
 
@@ -59,7 +59,7 @@
     void a_reader_that_stops_costs_lines_and_no_time()
     {
         constexpr int lines = 10'000; // Exceeds the capacity of a pipe.
-        lazy_reader reader;
+        stalled_reader reader;
         line_writer w{reader.writable_end(), 0, {}};
         CPPUNIT_ASSERT(set_nonblocking(w));
         for (int i = 0; i < lines; ++i) {
@@ -77,7 +77,7 @@
     void a_line_written_in_part_is_completed()
     {
         constexpr std::size_t longer_than_a_pipe = 200'000;
-        lazy_reader reader;
+        stalled_reader reader;
         line_writer w{reader.writable_end(), 0, {}};
         CPPUNIT_ASSERT(set_nonblocking(w));
         write_line(w, line_of(longer_than_a_pipe));
