--- a/unit_tests/logging/log_test.cpp
+++ b/unit_tests/logging/log_test.cpp
@@ -15,15 +15,15 @@
 /// Redirects standard output to a pipe for its lifetime.
 class captured_output {
 public:
-    captured_output() : before_(::dup(STDOUT_FILENO))
+    captured_output() : saved_stdout_(::dup(STDOUT_FILENO))
     {
         CPPUNIT_ASSERT_EQUAL(0, ::pipe(ends_.data()));
         ::dup2(ends_[1], STDOUT_FILENO);
     }
     ~captured_output()
     {
-        ::dup2(before_, STDOUT_FILENO);
-        ::close(before_);
+        ::dup2(saved_stdout_, STDOUT_FILENO);
+        ::close(saved_stdout_);
         ::close(ends_[0]);
         ::close(ends_[1]);
     }
@@ -39,7 +39,7 @@
     }
 
 private:
-    int before_;
+    int saved_stdout_;
     std::array<int, 2> ends_{};
 };
 
