--- a/unit_tests/logging/event_schema_test.cpp
+++ b/unit_tests/logging/event_schema_test.cpp
@@ -19,7 +19,7 @@
 using names = std::set<std::string>;
 
 /// Events found in the source code, with their fields or, for decisions, their inputs.
-struct written_events {
+struct logged_events {
     std::map<std::string, names> lines;
     std::map<std::string, names> decisions;
 };
@@ -63,7 +63,7 @@
     return matches(arguments, R"re(\{\s*"([a-z_]+)"\s*,)re");
 }
 
-void read_lines(const std::string& text, written_events& all)
+void read_lines(const std::string& text, logged_events& all)
 {
     const std::regex call(R"re((?:log::|[^\w:])write\(\s*(?:log::)?level::)re");
     for (std::sregex_iterator it(text.begin(), text.end(), call), end; it != end; ++it) {
@@ -77,7 +77,7 @@
     }
 }
 
-void read_decisions(const std::string& text, written_events& all)
+void read_decisions(const std::string& text, logged_events& all)
 {
     const std::regex call(R"re([^\w]decide\(\s*state)re");
     for (std::sregex_iterator it(text.begin(), text.end(), call), end; it != end; ++it) {
@@ -96,9 +96,9 @@
     }
 }
 
-written_events read_sources()
+logged_events read_sources()
 {
-    written_events all;
+    logged_events all;
     for (const auto* folder : {"/source", "/platform"}) {
         for (const auto& entry :
              fs::recursive_directory_iterator(PROJECT_ROOT + std::string(folder))) {
