--- a/source/claims/claim_key.h
+++ b/source/claims/claim_key.h
@@ -19,8 +19,8 @@
 using claim_key = boost::uuids::uuid;
 
 /// Claims whose keys hash to the same bucket share one log per time slice.
-using bucket_number = strong<struct bucket_tag, std::uint32_t>;
-using slice_number = strong<struct slice_tag, std::uint64_t>;
+using bucket_number = strong_type<struct bucket_tag, std::uint32_t>;
+using slice_number = strong_type<struct slice_tag, std::uint64_t>;
 
 constexpr std::uint32_t bucket_count = 2;
 constexpr std::chrono::milliseconds slice_length{60'000};
