--- a/source/common/authentication.cpp
+++ b/source/common/authentication.cpp
@@ -31,7 +31,8 @@
     return text;
 }
 
-bool is_signed(const shared_secret& secret, std::string_view message, std::string_view signature)
+bool verify_signature(const shared_secret& secret, std::string_view message,
+                      std::string_view signature)
 {
     const auto expected = sign(secret, message);
     return signature.size() == expected.size() &&
--- a/source/common/authentication.h
+++ b/source/common/authentication.h
@@ -17,6 +17,7 @@
 std::string sign(const shared_secret& secret, std::string_view message);
 
 /// Whether `signature` is valid for `message`; compares in constant time.
-bool is_signed(const shared_secret& secret, std::string_view message, std::string_view signature);
+bool verify_signature(const shared_secret& secret, std::string_view message,
+                      std::string_view signature);
 
 } // namespace almondquay
--- a/source/peer/gossip_message.cpp
+++ b/source/peer/gossip_message.cpp
@@ -83,7 +83,7 @@
         return error{result_code::peer_unauthenticated, "datagram too short"};
     }
     const auto body = datagram.substr(signature_length);
-    if (!is_signed(secret, body, datagram.substr(0, signature_length))) {
+    if (!verify_signature(secret, body, datagram.substr(0, signature_length))) {
         return error{result_code::peer_unauthenticated, "wrong signature"};
     }
     try {
--- a/source/peer/rpc_client.cpp
+++ b/source/peer/rpc_client.cpp
@@ -44,7 +44,7 @@
         return error_of(answer);
     }
     const auto& r = value_of(answer);
-    if (!is_signed(secret, r.body, http::header_of(r.headers, signature_header))) {
+    if (!verify_signature(secret, r.body, http::header_of(r.headers, signature_header))) {
         return error{result_code::peer_unauthenticated, "status " + std::to_string(r.status)};
     }
     return decode_answer(r.body);
--- a/source/peer/rpc_server.cpp
+++ b/source/peer/rpc_server.cpp
@@ -72,7 +72,7 @@
 http::response rpc_server::handle(const http::request& request)
 {
     const auto signature = http::header_of(request.headers, signature_header);
-    if (!is_signed(parts_->secret, request.body, signature)) {
+    if (!verify_signature(parts_->secret, request.body, signature)) {
         return {
             http::status_forbidden, {}, std::string(name_of(result_code::peer_unauthenticated))};
     }
--- a/source/traffic/spill.cpp
+++ b/source/traffic/spill.cpp
@@ -27,8 +27,8 @@
 bool is_spilled(const worker& w, std::string_view service, const caller_parser::value_type& request)
 {
     const auto proof = request[spill_header];
-    return !proof.empty() &&
-           is_signed(w.context.secret, signed_text(service, request), {proof.data(), proof.size()});
+    return !proof.empty() && verify_signature(w.context.secret, signed_text(service, request),
+                                              {proof.data(), proof.size()});
 }
 
 asio::awaitable<void> pace(worker& w, pacing& p, std::size_t size)
--- a/unit_tests/common/common_test.cpp
+++ b/unit_tests/common/common_test.cpp
@@ -71,10 +71,10 @@
     {
         const shared_secret secret{"a secret of some length"};
         const auto signature = sign(secret, "message");
-        CPPUNIT_ASSERT(is_signed(secret, "message", signature));
-        CPPUNIT_ASSERT(!is_signed(secret, "massage", signature));
-        CPPUNIT_ASSERT(!is_signed({"another secret of length"}, "message", signature));
-        CPPUNIT_ASSERT(!is_signed(secret, "message", ""));
+        CPPUNIT_ASSERT(verify_signature(secret, "message", signature));
+        CPPUNIT_ASSERT(!verify_signature(secret, "massage", signature));
+        CPPUNIT_ASSERT(!verify_signature({"another secret of length"}, "message", signature));
+        CPPUNIT_ASSERT(!verify_signature(secret, "message", ""));
     }
 };
 
