--- a/source/common/hybrid_clock.cpp
+++ b/source/common/hybrid_clock.cpp
@@ -23,7 +23,7 @@
 hybrid_time advance(hybrid_time last, hybrid_time received, wall_time now)
 {
     const auto latest_accepted =
-        milliseconds_of(now) + static_cast<std::uint64_t>(max_clock_lead.count());
+        milliseconds_of(now) + static_cast<std::uint64_t>(max_clock_offset.count());
     if (received.wall_ms > latest_accepted) {
         return advance(last, now);
     }
--- a/source/common/hybrid_clock.h
+++ b/source/common/hybrid_clock.h
@@ -21,7 +21,7 @@
 
 /// How far a received timestamp may be ahead of the local wall clock before it is ignored. Without
 /// this limit one peer with a wrong clock would move the clocks of the whole fleet forward.
-constexpr std::chrono::milliseconds max_clock_lead{60'000};
+constexpr std::chrono::milliseconds max_clock_offset{60'000};
 
 /// The next timestamp after `last`, for a local event at `now`.
 hybrid_time advance(hybrid_time last, wall_time now);
