--- a/source/almondquayd/daemon.cpp
+++ b/source/almondquayd/daemon.cpp
@@ -258,7 +258,7 @@
     self.has_inventory = s.store == store_kind::registry;
     self.parse = protocol_of(s).parse_fleet;
     self.budgets = s.budgets;
-    self.news_within = s.news_within;
+    self.max_propagation_delay = s.max_propagation_delay;
     self.stop_grace = s.stop_grace;
     return self;
 }
--- a/source/config/process_settings.cpp
+++ b/source/config/process_settings.cpp
@@ -101,7 +101,8 @@
             report(reader, item, result_code::bad_value, error_of(seed).detail);
         }
     }
-    settings.news_within = read_seconds(reader, "news_within_s", news_range, settings.news_within);
+    settings.max_propagation_delay =
+        read_seconds(reader, "news_within_s", news_range, settings.max_propagation_delay);
     settings.secret.bytes = read_required(reader, "shared_secret");
     if (settings.secret.bytes.size() < min_secret_length) {
         report(reader, "shared_secret", result_code::bad_value,
--- a/source/control/state.h
+++ b/source/control/state.h
@@ -36,7 +36,7 @@
     bool has_inventory = false; ///< the store lists targets and hosts
     decltype(store_protocol::parse_fleet) parse = nullptr; ///< parses the configuration's text
     shared_budgets budgets{};
-    std::chrono::milliseconds news_within{
+    std::chrono::milliseconds max_propagation_delay{
         2'000};                              ///< time limit for a change to take effect everywhere
     std::chrono::milliseconds stop_grace{0}; ///< from the stop signal to the end; 0: no limit
 };
--- a/source/control/store_followers.cpp
+++ b/source/control/store_followers.cpp
@@ -82,7 +82,7 @@
     switch (kind) {
     case inventory_kind::configuration:
     case inventory_kind::targets:
-        return state.self.news_within - takeover_margin;
+        return state.self.max_propagation_delay - takeover_margin;
     case inventory_kind::evacuations:
         return evacuation_takeover_age;
     case inventory_kind::hosts:
--- a/unit_tests/control/store_followers_test.cpp
+++ b/unit_tests/control/store_followers_test.cpp
@@ -64,7 +64,7 @@
         world.set_fault(id, fault);
     }
     change_all(world);
-    world.run_for(settings.news_within);
+    world.run_for(settings.max_propagation_delay);
     CPPUNIT_ASSERT_MESSAGE("seed " + std::to_string(seed), is_up_to_date(world, 2, "new", "old"));
 }
 
@@ -104,7 +104,7 @@
             settings.seed = seed;
             auto world = make_world(settings);
             change_all(world);
-            world.run_for(settings.news_within);
+            world.run_for(settings.max_propagation_delay);
             CPPUNIT_ASSERT(is_up_to_date(world, 2, "new", "old"));
             world.put_evacuation("r1-0");
             constexpr seconds evacuation_bound{5};
--- a/unit_tests/control/store_world.cpp
+++ b/unit_tests/control/store_world.cpp
@@ -106,7 +106,7 @@
     self.registration = running.self;
     self.has_inventory = true;
     self.parse = parse_one_service;
-    self.news_within = settings_.news_within;
+    self.max_propagation_delay = settings_.max_propagation_delay;
     for (const auto& [other, h] : hosts_) {
         const auto& domain = h->self.domain;
         self.domains[domain] = region_id(domain.value.substr(0, domain.value.find('-')));
--- a/unit_tests/control/store_world.h
+++ b/unit_tests/control/store_world.h
@@ -18,7 +18,7 @@
     std::size_t hosts_per_domain = 2;
     double loss = 0; ///< probability of the loss of a datagram
     std::uint64_t seed = 1;
-    std::chrono::milliseconds news_within{2'000};
+    std::chrono::milliseconds max_propagation_delay{2'000};
 };
 
 /// Faults that can be injected at a host.
