--- a/source/almondquay/main.cpp
+++ b/source/almondquay/main.cpp
@@ -49,7 +49,7 @@
         return complain(error_of(text));
     }
     auto parsed =
-        parse_process_settings(value_of(text), c.settings_file, settings_user::command_line);
+        parse_process_settings(value_of(text), c.settings_file, process_kind::command_line);
     if (const auto* findings = std::get_if<diagnostics>(&parsed)) {
         for (const auto& finding : *findings) {
             std::cerr << to_string(finding) << '\n';
--- a/source/almondquayd/daemon.cpp
+++ b/source/almondquayd/daemon.cpp
@@ -75,7 +75,7 @@
         log::write(log::level::info, "settings_unchanged", {{"why", why}});
         return;
     }
-    const auto parsed = parse_process_settings(text, d.settings.file, settings_user::daemon);
+    const auto parsed = parse_process_settings(text, d.settings.file, process_kind::daemon);
     if (const auto* findings = std::get_if<diagnostics>(&parsed)) {
         log::write(log::level::error, "settings_refused",
                    {{"why", why}, {"finding", to_string(findings->front())}});
--- a/source/almondquayd/main.cpp
+++ b/source/almondquayd/main.cpp
@@ -21,7 +21,7 @@
     }
     std::ostringstream text;
     text << file.rdbuf();
-    const auto parsed = parse_process_settings(text.str(), path, settings_user::daemon);
+    const auto parsed = parse_process_settings(text.str(), path, process_kind::daemon);
     if (const auto* findings = std::get_if<diagnostics>(&parsed)) {
         for (const auto& finding : *findings) {
             std::cerr << to_string(finding) << '\n';
--- a/source/config/process_settings.cpp
+++ b/source/config/process_settings.cpp
@@ -172,7 +172,7 @@
 } // namespace
 
 std::variant<process_settings, diagnostics>
-parse_process_settings(std::string_view text, const std::string& file, settings_user user)
+parse_process_settings(std::string_view text, const std::string& file, process_kind user)
 {
     auto document = read_ini(text, file);
     process_settings settings;
@@ -181,7 +181,7 @@
     for (const auto& section : sections) {
         read_section(section, document, settings);
     }
-    if (user == settings_user::daemon) {
+    if (user == process_kind::daemon) {
         require_section(document, "host");
     }
     require_section(document, "platform");
--- a/source/config/process_settings.h
+++ b/source/config/process_settings.h
@@ -58,10 +58,10 @@
 };
 
 /// Which program reads the settings; the command-line tool needs no `host` section.
-enum class settings_user { daemon, command_line };
+enum class process_kind { daemon, command_line };
 
 /// Parses and validates the settings. Returns all diagnostics at once if there are any.
 std::variant<process_settings, diagnostics>
-parse_process_settings(std::string_view text, const std::string& file, settings_user user);
+parse_process_settings(std::string_view text, const std::string& file, process_kind user);
 
 } // namespace almondquay
--- a/unit_tests/config/fleet_text_test.cpp
+++ b/unit_tests/config/fleet_text_test.cpp
@@ -151,7 +151,7 @@
                 text[random() % text.size()] = static_cast<char>(random());
             }
             parse_fleet(text, "f");
-            parse_process_settings(text, "f", settings_user::daemon);
+            parse_process_settings(text, "f", process_kind::daemon);
             decode_fleet_envelope(text);
         }
     }
@@ -183,11 +183,11 @@
                                  "[platform]\naddress = 127.0.0.2:7100\n"
                                  "[peers]\nshared_secret = sixteen letters!\n"
                                  "seeds = 127.0.1.1:7001, 127.0.1.2:7001\n";
-        const auto parsed = parse_process_settings(good, "s", settings_user::daemon);
+        const auto parsed = parse_process_settings(good, "s", process_kind::daemon);
         CPPUNIT_ASSERT_EQUAL(std::size_t{2}, std::get<process_settings>(parsed).seeds.size());
         const auto bad = parse_process_settings("[peers]\nshared_secret = short\n[traffic]\n"
                                                 "threads = many\nx = 1\n",
-                                                "s", settings_user::daemon);
+                                                "s", process_kind::daemon);
         const auto& findings = std::get<diagnostics>(bad);
         CPPUNIT_ASSERT(has(findings, result_code::bad_value, 2));
         CPPUNIT_ASSERT(has(findings, result_code::bad_value, 4));
--- a/unit_tests/platform/settings_template_test.cpp
+++ b/unit_tests/platform/settings_template_test.cpp
@@ -113,7 +113,7 @@
         constexpr std::size_t design_domains = 40;
         for (const std::size_t domains : {std::size_t{1}, std::size_t{9}, design_domains}) {
             const auto text = render(template_text(), fields_with(domains));
-            const auto parsed = parse_process_settings(text, "local", settings_user::daemon);
+            const auto parsed = parse_process_settings(text, "local", process_kind::daemon);
             const auto* findings = std::get_if<diagnostics>(&parsed);
             CPPUNIT_ASSERT_MESSAGE(findings == nullptr ? "" : to_string(findings->front()),
                                    findings == nullptr);
