--- a/source/config/fleet_text.cpp
+++ b/source/config/fleet_text.cpp
@@ -170,7 +170,7 @@
     for (const auto& known : section_kinds) {
         if (known.kind == section.kind && known.names == section.names.size()) {
             known.read(reader, f);
-            finish(reader);
+            report_unknown_keys(reader);
             return;
         }
     }
--- a/source/config/process_settings.cpp
+++ b/source/config/process_settings.cpp
@@ -158,7 +158,7 @@
         report(reader, "", result_code::unknown_section, "unknown section '" + section.kind + "'");
         return;
     }
-    finish(reader);
+    report_unknown_keys(reader);
 }
 
 void require_section(ini_document& document, std::string_view kind)
--- a/source/config/section_reader.cpp
+++ b/source/config/section_reader.cpp
@@ -147,7 +147,7 @@
     return items;
 }
 
-void finish(section_reader& reader)
+void report_unknown_keys(section_reader& reader)
 {
     for (const auto& entry : reader.section->entries) {
         if (std::ranges::find(reader.known_keys, entry.key) == reader.known_keys.end()) {
--- a/source/config/section_reader.h
+++ b/source/config/section_reader.h
@@ -18,8 +18,9 @@
     std::int64_t highest = 0;
 };
 
-/// Reads one section's keys as typed values. Each read marks the key as known; `finish` reports
-/// the remaining ones as unknown. Diagnostics are added to `document`.
+/// Reads one section's keys as typed values. Each read marks the key as known;
+/// `report_unknown_keys` reports the remaining ones as unknown. Diagnostics are added to
+/// `document`.
 struct section_reader {
     const ini_section* section = nullptr;
     ini_document* document = nullptr;
@@ -73,6 +74,6 @@
 void report(section_reader& reader, std::string_view key, result_code code, std::string message);
 
 /// Reports unknown_key for each key that has not been read.
-void finish(section_reader& reader);
+void report_unknown_keys(section_reader& reader);
 
 } // namespace almondquay
