--- a/source/almondquay/drain_commands.cpp
+++ b/source/almondquay/drain_commands.cpp
@@ -60,7 +60,7 @@
     if (!succeeded(known)) {
         return error_of(known);
     }
-    if (!set_mark(next.drains, {c.kind, c.subject}, drains)) {
+    if (!set_drain(next.drains, {c.kind, c.subject}, drains)) {
         return next.number;
     }
     next.number.value += 1;
--- a/source/config/fleet_envelope.cpp
+++ b/source/config/fleet_envelope.cpp
@@ -50,7 +50,7 @@
             if (!succeeded(mark)) {
                 return error_of(mark);
             }
-            set_mark(envelope.drains, value_of(mark), true);
+            set_drain(envelope.drains, value_of(mark), true);
         }
         envelope.changed_by = whole.at("changed_by").get<std::string>();
         envelope.reason = whole.at("reason").get<std::string>();
@@ -89,7 +89,7 @@
         marks, [&](const drain_mark& m) { return m.kind == kind && m.name == name; });
 }
 
-bool set_mark(std::vector<drain_mark>& marks, const drain_mark& mark, bool drained)
+bool set_drain(std::vector<drain_mark>& marks, const drain_mark& mark, bool drained)
 {
     const auto place = std::ranges::lower_bound(marks, mark);
     const bool is_there = place != marks.end() && *place == mark;
--- a/source/config/fleet_envelope.h
+++ b/source/config/fleet_envelope.h
@@ -55,6 +55,6 @@
 bool is_marked(const std::vector<drain_mark>& marks, drain_kind kind, std::string_view name);
 
 /// Adds or removes a mark, keeping the list sorted. Returns false if nothing changed.
-bool set_mark(std::vector<drain_mark>& marks, const drain_mark& mark, bool drained);
+bool set_drain(std::vector<drain_mark>& marks, const drain_mark& mark, bool drained);
 
 } // namespace almondquay
--- a/unit_tests/config/fleet_text_test.cpp
+++ b/unit_tests/config/fleet_text_test.cpp
@@ -159,10 +159,10 @@
     void envelope_survives_a_round_trip()
     {
         fleet_envelope envelope{generation(7), std::string(good_text), {}, "ayse", "test", 12};
-        CPPUNIT_ASSERT(set_mark(envelope.drains, {drain_kind::host, "m1"}, true));
-        CPPUNIT_ASSERT(!set_mark(envelope.drains, {drain_kind::host, "m1"}, true));
+        CPPUNIT_ASSERT(set_drain(envelope.drains, {drain_kind::host, "m1"}, true));
+        CPPUNIT_ASSERT(!set_drain(envelope.drains, {drain_kind::host, "m1"}, true));
         CPPUNIT_ASSERT(value_of(decode_fleet_envelope(encode(envelope))) == envelope);
-        CPPUNIT_ASSERT(set_mark(envelope.drains, {drain_kind::host, "m1"}, false));
+        CPPUNIT_ASSERT(set_drain(envelope.drains, {drain_kind::host, "m1"}, false));
         CPPUNIT_ASSERT(envelope.drains.empty());
     }
 
--- a/unit_tests/steering/steering_test.cpp
+++ b/unit_tests/steering/steering_test.cpp
@@ -200,10 +200,10 @@
         auto availability = all_hosts_live();
         availability.live_hosts.erase(host_id("w1"));
         CPPUNIT_ASSERT_EQUAL(std::string("w2:3 "), chosen(f, availability, "top", "west"));
-        set_mark(availability.drains, {drain_kind::host, "w2"}, true);
+        set_drain(availability.drains, {drain_kind::host, "w2"}, true);
         CPPUNIT_ASSERT_EQUAL(std::string(), chosen(f, availability, "top", "west"));
         availability = all_hosts_live();
-        set_mark(availability.drains, {drain_kind::region, "east"}, true);
+        set_drain(availability.drains, {drain_kind::region, "east"}, true);
         CPPUNIT_ASSERT_EQUAL(std::string(), chosen(f, availability, "base", "east"));
     }
 
