--- a/source/config/fleet_envelope.cpp
+++ b/source/config/fleet_envelope.cpp
@@ -83,7 +83,7 @@
     return kind_names[static_cast<std::size_t>(kind)];
 }
 
-bool is_marked(const std::vector<drain_mark>& marks, drain_kind kind, std::string_view name)
+bool has_drain(const std::vector<drain_mark>& marks, drain_kind kind, std::string_view name)
 {
     return std::ranges::any_of(
         marks, [&](const drain_mark& m) { return m.kind == kind && m.name == name; });
--- a/source/config/fleet_envelope.h
+++ b/source/config/fleet_envelope.h
@@ -52,7 +52,7 @@
 std::string_view name_of(drain_kind kind);
 
 /// Whether `marks` contains this drain mark.
-bool is_marked(const std::vector<drain_mark>& marks, drain_kind kind, std::string_view name);
+bool has_drain(const std::vector<drain_mark>& marks, drain_kind kind, std::string_view name);
 
 /// Adds or removes a mark, keeping the list sorted. Returns false if nothing changed.
 bool set_drain(std::vector<drain_mark>& marks, const drain_mark& mark, bool drained);
--- a/source/steering/lookup_plan.cpp
+++ b/source/steering/lookup_plan.cpp
@@ -13,8 +13,8 @@
 bool is_domain_drained(const fleet& f, const std::vector<drain_mark>& drains,
                        const failure_domain_id& domain)
 {
-    return is_marked(drains, drain_kind::failure_domain, domain.value) ||
-           is_marked(drains, drain_kind::region, region_of(f, domain).value);
+    return has_drain(drains, drain_kind::failure_domain, domain.value) ||
+           has_drain(drains, drain_kind::region, region_of(f, domain).value);
 }
 
 std::uint32_t slots_in(const capacity_index& capacity, const failure_domain_id& domain,
@@ -67,13 +67,13 @@
 
 bool is_drained(const fleet& f, const std::vector<drain_mark>& drains, const target& t)
 {
-    return is_marked(drains, drain_kind::target, t.id.value) ||
+    return has_drain(drains, drain_kind::target, t.id.value) ||
            is_domain_drained(f, drains, t.domain);
 }
 
 bool is_drained(const fleet& f, const std::vector<drain_mark>& drains, const host& h)
 {
-    return is_marked(drains, drain_kind::host, h.id.value) ||
+    return has_drain(drains, drain_kind::host, h.id.value) ||
            is_domain_drained(f, drains, h.domain);
 }
 
