--- a/source/config/ini_document.cpp
+++ b/source/config/ini_document.cpp
@@ -17,7 +17,7 @@
 
 /// State of feeding the text to the INI library line by line. The library reports neither line
 /// numbers nor empty sections, so both are recorded while lines are passed to it.
-struct line_feed {
+struct line_reader {
     std::string_view rest;
     int line = 0;
     ini_document* document = nullptr;
@@ -49,7 +49,7 @@
 
 char* next_line(char* buffer, int size, void* stream)
 {
-    auto& feed = *static_cast<line_feed*>(stream);
+    auto& feed = *static_cast<line_reader*>(stream);
     if (feed.rest.empty()) {
         return nullptr;
     }
@@ -78,7 +78,7 @@
 
 int take_entry(void* user, const char* /*section*/, const char* name, const char* value)
 {
-    auto& feed = *static_cast<line_feed*>(user);
+    auto& feed = *static_cast<line_reader*>(user);
     auto& document = *feed.document;
     if (document.sections.empty()) {
         add_finding(document, result_code::text_syntax, feed.line, "key before the first section");
@@ -135,7 +135,7 @@
     ini_document document;
     document.file = std::move(file);
     // The library continues after a syntax error but reports only the first bad line.
-    line_feed feed{text, 0, &document};
+    line_reader feed{text, 0, &document};
     const int bad_line = ini_parse_stream(next_line, &feed, take_entry, &feed);
     if (bad_line > 0) {
         add_finding(document, result_code::text_syntax, bad_line,
