--- a/source/config/ini_document.cpp
+++ b/source/config/ini_document.cpp
@@ -76,7 +76,7 @@
     return buffer;
 }
 
-int take_entry(void* user, const char* /*section*/, const char* name, const char* value)
+int handle_entry(void* user, const char* /*section*/, const char* name, const char* value)
 {
     auto& feed = *static_cast<line_reader*>(user);
     auto& document = *feed.document;
@@ -136,7 +136,7 @@
     document.file = std::move(file);
     // The library continues after a syntax error but reports only the first bad line.
     line_reader feed{text, 0, &document};
-    const int bad_line = ini_parse_stream(next_line, &feed, take_entry, &feed);
+    const int bad_line = ini_parse_stream(next_line, &feed, handle_entry, &feed);
     if (bad_line > 0) {
         add_finding(document, result_code::text_syntax, bad_line,
                     "the line is neither a section, a key with '=' nor a comment");
