--- a/source/config/ini_document.cpp
+++ b/source/config/ini_document.cpp
@@ -28,7 +28,7 @@
     document.findings.push_back({code, document.file, line, std::move(message)});
 }
 
-void note_heading(ini_document& document, std::string_view text, int line)
+void record_heading(ini_document& document, std::string_view text, int line)
 {
     const auto end = text.find(']');
     if (end == std::string_view::npos) {
@@ -68,7 +68,7 @@
         text = "";
     }
     if (text.starts_with('[')) {
-        note_heading(*feed.document, text, feed.line);
+        record_heading(*feed.document, text, feed.line);
     }
     std::memcpy(buffer, text.data(), text.size());
     buffer[text.size()] = '\n';
