--- a/source/config/fleet_checks.cpp
+++ b/source/config/fleet_checks.cpp
@@ -29,8 +29,8 @@
 }
 
 template <class Id, class Value>
-void require(ini_document& document, const std::map<Id, Value>& known, const Id& id, int line,
-             std::string_view kind)
+void check_defined(ini_document& document, const std::map<Id, Value>& known, const Id& id, int line,
+                   std::string_view kind)
 {
     if (!id.value.empty() && !known.contains(id)) {
         add(document, result_code::unknown_reference, line,
@@ -42,36 +42,36 @@
 {
     for (const auto& [id, d] : f.domains) {
         const int line = line_of(document, "failure_domain", {id.value});
-        require(document, f.regions, d.in_region, line, "region");
+        check_defined(document, f.regions, d.in_region, line, "region");
     }
     for (const auto& [id, h] : f.hosts) {
         const int line = line_of(document, "host", {id.value});
-        require(document, f.domains, h.domain, line, "failure domain");
+        check_defined(document, f.domains, h.domain, line, "failure domain");
     }
     for (const auto& [id, t] : f.targets) {
         const int line = line_of(document, "target", {id.value});
-        require(document, f.domains, t.domain, line, "failure domain");
-        require(document, f.services, t.serves, line, "service");
+        check_defined(document, f.domains, t.domain, line, "failure domain");
+        check_defined(document, f.services, t.serves, line, "service");
     }
     for (const auto& [id, s] : f.services) {
         for (const auto& needed : s.depends_on) {
             const int line = line_of(document, "service", {id.value});
-            require(document, f.services, needed, line, "service");
+            check_defined(document, f.services, needed, line, "service");
         }
     }
     for (const auto& l : f.links) {
         const int line = line_of(document, "link", {l.first.value, l.second.value});
-        require(document, f.regions, l.first, line, "region");
-        require(document, f.regions, l.second, line, "region");
+        check_defined(document, f.regions, l.first, line, "region");
+        check_defined(document, f.regions, l.second, line, "region");
     }
     for (const auto& g : f.grants) {
         const int line = line_of(document, "grant", {g.from.value, g.to.value, g.of_service.value});
-        require(document, f.domains, g.from, line, "failure domain");
-        require(document, f.domains, g.to, line, "failure domain");
-        require(document, f.services, g.of_service, line, "service");
+        check_defined(document, f.domains, g.from, line, "failure domain");
+        check_defined(document, f.domains, g.to, line, "failure domain");
+        check_defined(document, f.services, g.of_service, line, "service");
     }
     for (const auto& b : f.caller_blocks) {
-        require(document, f.regions, b.near_region, 0, "region");
+        check_defined(document, f.regions, b.near_region, 0, "region");
     }
 }
 
