--- a/source/config/fleet_checks.cpp
+++ b/source/config/fleet_checks.cpp
@@ -101,18 +101,18 @@
 void check_addresses(const fleet& f, ini_document& document)
 {
     std::set<endpoint> used;
-    const auto claim = [&](const endpoint& e, int line) {
+    const auto check_unique = [&](const endpoint& e, int line) {
         if (!e.address.empty() && !used.insert(e).second) {
             add(document, result_code::address_in_use, line, to_string(e) + " is used twice");
         }
     };
     for (const auto& [id, h] : f.hosts) {
         const int line = line_of(document, "host", {id.value});
-        claim(h.callers, line);
-        claim(h.peers, line);
+        check_unique(h.callers, line);
+        check_unique(h.peers, line);
     }
     for (const auto& [id, t] : f.targets) {
-        claim(t.address, line_of(document, "target", {id.value}));
+        check_unique(t.address, line_of(document, "target", {id.value}));
     }
 }
 
