--- a/source/config/fleet_text.cpp
+++ b/source/config/fleet_text.cpp
@@ -16,7 +16,7 @@
 constexpr number_range deadline_range{10, 3'600'000};
 constexpr number_range slot_range{1, 10'000};
 constexpr number_range connection_range{1, 100'000};
-constexpr number_range flight_range{0, 1'000'000};
+constexpr number_range in_flight_range{0, 1'000'000};
 constexpr number_range rank_range{1, 100};
 constexpr std::int64_t default_caller_port = 7000;
 constexpr std::int64_t default_peer_port = 7001;
@@ -127,7 +127,7 @@
     g.from.value = r.section->names[0];
     g.to.value = r.section->names[1];
     g.of_service.value = r.section->names[2];
-    g.in_flight = static_cast<std::uint32_t>(read_number(r, "in_flight", flight_range, 0));
+    g.in_flight = static_cast<std::uint32_t>(read_number(r, "in_flight", in_flight_range, 0));
     g.rate.value = static_cast<double>(read_number(r, "mbit", mbit_range, 0));
     f.grants.push_back(g);
 }
