--- a/source/almondquay/log_commands.cpp
+++ b/source/almondquay/log_commands.cpp
@@ -1,5 +1,5 @@
 #include "almondquay/commands.h"
-#include "trace/belief.h"
+#include "trace/logged_host_state.h"
 #include "trace/request_cause.h"
 #include "trace/request_story.h"
 
--- a/source/trace/belief.cpp
+++ b/source/trace/logged_host_state.cpp
@@ -1,4 +1,4 @@
-#include "trace/belief.h"
+#include "trace/logged_host_state.h"
 
 #include <set>
 
