--- a/source/almondquay/log_commands.cpp
+++ b/source/almondquay/log_commands.cpp
@@ -1,7 +1,7 @@
 #include "almondquay/commands.h"
 #include "trace/logged_host_state.h"
 #include "trace/request_cause.h"
-#include "trace/request_story.h"
+#include "trace/request_trace.h"
 
 #include <algorithm>
 #include <iostream>
--- a/source/trace/request_cause.h
+++ b/source/trace/request_cause.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "trace/request_story.h"
+#include "trace/request_trace.h"
 
 #include <string>
 
--- a/source/trace/request_story.cpp
+++ b/source/trace/request_trace.cpp
@@ -1,4 +1,4 @@
-#include "trace/request_story.h"
+#include "trace/request_trace.h"
 
 #include <algorithm>
 #include <charconv>
--- a/unit_tests/trace/trace_test.cpp
+++ b/unit_tests/trace/trace_test.cpp
@@ -1,7 +1,7 @@
 #include "trace/log_line.h"
 #include "trace/logged_host_state.h"
 #include "trace/request_cause.h"
-#include "trace/request_story.h"
+#include "trace/request_trace.h"
 
 #include <filesystem>
 #include <fstream>
