--- a/unit_tests/trace/trace_test.cpp
+++ b/unit_tests/trace/trace_test.cpp
@@ -66,7 +66,7 @@
 
 class trace_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(trace_test);
-    CPPUNIT_TEST(a_line_is_read_with_what_stands_before_it);
+    CPPUNIT_TEST(a_prefix_before_the_line_is_ignored);
     CPPUNIT_TEST(what_is_no_line_is_passed_over);
     CPPUNIT_TEST(any_cut_of_a_line_is_read_or_passed_over);
     CPPUNIT_TEST(lines_of_several_hosts_are_merged_by_time);
@@ -82,7 +82,7 @@
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void a_line_is_read_with_what_stands_before_it()
+    void a_prefix_before_the_line_is_ignored()
     {
         const auto read =
             parse_log_line("  33.09 edge-a time=2026-12-04T10:00:01.5Z level=info "
