--- a/unit_tests/trace/trace_test.cpp
+++ b/unit_tests/trace/trace_test.cpp
@@ -67,7 +67,7 @@
 class trace_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(trace_test);
     CPPUNIT_TEST(a_prefix_before_the_line_is_ignored);
-    CPPUNIT_TEST(what_is_no_line_is_passed_over);
+    CPPUNIT_TEST(invalid_lines_are_ignored);
     CPPUNIT_TEST(any_cut_of_a_line_is_read_or_passed_over);
     CPPUNIT_TEST(lines_of_several_hosts_are_merged_by_time);
     CPPUNIT_TEST(lines_of_one_host_keep_their_order_when_its_clock_jumps);
@@ -97,7 +97,7 @@
         CPPUNIT_ASSERT(field_of(*read, "d").empty());
     }
 
-    void what_is_no_line_is_passed_over()
+    void invalid_lines_are_ignored()
     {
         for (const auto* text :
              {"", "time=", "time=yesterday event=x", "a stack trace",
