--- a/unit_tests/trace/trace_test.cpp
+++ b/unit_tests/trace/trace_test.cpp
@@ -68,7 +68,7 @@
     CPPUNIT_TEST_SUITE(trace_test);
     CPPUNIT_TEST(a_prefix_before_the_line_is_ignored);
     CPPUNIT_TEST(invalid_lines_are_ignored);
-    CPPUNIT_TEST(any_cut_of_a_line_is_read_or_passed_over);
+    CPPUNIT_TEST(truncated_lines_are_parsed_or_ignored);
     CPPUNIT_TEST(lines_of_several_hosts_are_merged_by_time);
     CPPUNIT_TEST(lines_of_one_host_keep_their_order_when_its_clock_jumps);
     CPPUNIT_TEST(a_crash_shows_in_what_followed);
@@ -106,7 +106,7 @@
         }
     }
 
-    void any_cut_of_a_line_is_read_or_passed_over()
+    void truncated_lines_are_parsed_or_ignored()
     {
         const auto whole =
             decision("01", "edge-a", "target_gone", "T \\x1b\\\" is gone", "target:t");
