--- a/unit_tests/trace/trace_test.cpp
+++ b/unit_tests/trace/trace_test.cpp
@@ -71,7 +71,7 @@
     CPPUNIT_TEST(truncated_lines_are_parsed_or_ignored);
     CPPUNIT_TEST(lines_of_several_hosts_are_merged_by_time);
     CPPUNIT_TEST(lines_of_one_host_keep_their_order_when_its_clock_jumps);
-    CPPUNIT_TEST(a_crash_shows_in_what_followed);
+    CPPUNIT_TEST(a_crash_is_found_in_later_decisions);
     CPPUNIT_TEST(the_attempt_that_decided_need_not_be_the_last);
     CPPUNIT_TEST(a_host_without_the_store_is_named);
     CPPUNIT_TEST(ids_that_contain_another_are_told_apart);
@@ -147,7 +147,7 @@
             cause.text);
     }
 
-    void a_crash_shows_in_what_followed()
+    void a_crash_is_found_in_later_decisions()
     {
         const log_folder logs(
             {{"a", line("01", "a",
