--- a/unit_tests/trace/trace_test.cpp
+++ b/unit_tests/trace/trace_test.cpp
@@ -72,7 +72,7 @@
     CPPUNIT_TEST(lines_of_several_hosts_are_merged_by_time);
     CPPUNIT_TEST(lines_of_one_host_keep_their_order_when_its_clock_jumps);
     CPPUNIT_TEST(a_crash_is_found_in_later_decisions);
-    CPPUNIT_TEST(the_attempt_that_decided_need_not_be_the_last);
+    CPPUNIT_TEST(the_decisive_attempt_need_not_be_the_last);
     CPPUNIT_TEST(a_host_without_the_store_is_named);
     CPPUNIT_TEST(ids_that_contain_another_are_told_apart);
     CPPUNIT_TEST(dropped_lines_are_named_where_nothing_is_known);
@@ -163,7 +163,7 @@
 
     /// The last attempt was reported as the cause although an earlier one, which may have run, had
     /// determined the result.
-    void the_attempt_that_decided_need_not_be_the_last()
+    void the_decisive_attempt_need_not_be_the_last()
     {
         const log_folder logs(
             {{"a", line("01", "a",
