--- a/unit_tests/trace/trace_test.cpp
+++ b/unit_tests/trace/trace_test.cpp
@@ -73,7 +73,7 @@
     CPPUNIT_TEST(lines_of_one_host_keep_their_order_when_its_clock_jumps);
     CPPUNIT_TEST(a_crash_is_found_in_later_decisions);
     CPPUNIT_TEST(the_decisive_attempt_need_not_be_the_last);
-    CPPUNIT_TEST(a_host_without_the_store_is_named);
+    CPPUNIT_TEST(lost_contact_with_the_store_is_reported);
     CPPUNIT_TEST(ids_that_contain_another_are_told_apart);
     CPPUNIT_TEST(dropped_lines_are_named_where_nothing_is_known);
     CPPUNIT_TEST(a_request_without_an_end_is_not_explained);
@@ -180,7 +180,7 @@
         CPPUNIT_ASSERT(cause.text.ends_with("1 other attempt failed."));
     }
 
-    void a_host_without_the_store_is_named()
+    void lost_contact_with_the_store_is_reported()
     {
         const log_folder logs(
             {{"a", decision("01", "a", "store_away", "The store does not answer.", "away_ms:0") +
