--- a/unit_tests/trace/trace_test.cpp
+++ b/unit_tests/trace/trace_test.cpp
@@ -75,7 +75,7 @@
     CPPUNIT_TEST(the_decisive_attempt_need_not_be_the_last);
     CPPUNIT_TEST(lost_contact_with_the_store_is_reported);
     CPPUNIT_TEST(ids_that_contain_another_are_told_apart);
-    CPPUNIT_TEST(dropped_lines_are_named_where_nothing_is_known);
+    CPPUNIT_TEST(dropped_lines_are_reported_if_the_request_is_not_logged);
     CPPUNIT_TEST(a_request_without_an_end_is_not_explained);
     CPPUNIT_TEST(a_belief_is_that_of_the_latest_life);
     CPPUNIT_TEST(a_belief_ends_with_its_time);
@@ -202,7 +202,7 @@
         CPPUNIT_ASSERT_EQUAL(std::string("ok"), cause_in(logs, "r-1").result);
     }
 
-    void dropped_lines_are_named_where_nothing_is_known()
+    void dropped_lines_are_reported_if_the_request_is_not_logged()
     {
         const log_folder logs({{"a", line("01", "a", "log_lines_dropped lines=7") +
                                          line("02", "a", "log_lines_dropped lines=3")}});
