--- a/unit_tests/trace/trace_test.cpp
+++ b/unit_tests/trace/trace_test.cpp
@@ -77,7 +77,7 @@
     CPPUNIT_TEST(ids_that_contain_another_are_told_apart);
     CPPUNIT_TEST(dropped_lines_are_reported_if_the_request_is_not_logged);
     CPPUNIT_TEST(a_request_without_an_end_is_not_explained);
-    CPPUNIT_TEST(a_belief_is_that_of_the_latest_life);
+    CPPUNIT_TEST(a_restart_resets_the_host_state);
     CPPUNIT_TEST(a_belief_ends_with_its_time);
     CPPUNIT_TEST_SUITE_END();
 
@@ -220,7 +220,7 @@
         CPPUNIT_ASSERT(cause_in(logs, "r").result.empty());
     }
 
-    void a_belief_is_that_of_the_latest_life()
+    void a_restart_resets_the_host_state()
     {
         const log_folder logs(
             {{"a",
