--- a/unit_tests/trace/trace_test.cpp
+++ b/unit_tests/trace/trace_test.cpp
@@ -78,7 +78,7 @@
     CPPUNIT_TEST(dropped_lines_are_reported_if_the_request_is_not_logged);
     CPPUNIT_TEST(a_request_without_an_end_is_not_explained);
     CPPUNIT_TEST(a_restart_resets_the_host_state);
-    CPPUNIT_TEST(a_belief_ends_with_its_time);
+    CPPUNIT_TEST(lines_after_the_given_time_are_ignored);
     CPPUNIT_TEST_SUITE_END();
 
 public:
@@ -241,7 +241,7 @@
         CPPUNIT_ASSERT(!state.clock_went_back);
     }
 
-    void a_belief_ends_with_its_time()
+    void lines_after_the_given_time_are_ignored()
     {
         const log_folder logs(
             {{"a",
