--- a/unit_tests/common/common_test.cpp
+++ b/unit_tests/common/common_test.cpp
@@ -13,7 +13,7 @@
 class common_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(common_test);
     CPPUNIT_TEST(documented_result_codes_match_the_table);
-    CPPUNIT_TEST(endpoints_are_numbers);
+    CPPUNIT_TEST(endpoints_require_ipv4_addresses);
     CPPUNIT_TEST(hybrid_time_never_goes_back);
     CPPUNIT_TEST(hybrid_time_ignores_broken_clocks);
     CPPUNIT_TEST(signatures_bind_message_and_secret);
@@ -40,7 +40,7 @@
         CPPUNIT_ASSERT_EQUAL(rows, documented);
     }
 
-    void endpoints_are_numbers()
+    void endpoints_require_ipv4_addresses()
     {
         CPPUNIT_ASSERT(value_of(parse_endpoint("127.0.1.2:7000")) == (endpoint{"127.0.1.2", 7000}));
         for (const auto* bad : {"", "127.0.1.2", "127.0.1.2:0", "127.0.1.2:65536", "host:80",
