--- a/unit_tests/config/fleet_text_test.cpp
+++ b/unit_tests/config/fleet_text_test.cpp
@@ -67,7 +67,7 @@
     CPPUNIT_TEST(safe_methods_are_repeatable_by_default);
     CPPUNIT_TEST(reports_each_kind_of_finding_with_its_line);
     CPPUNIT_TEST(reports_all_findings_in_one_run);
-    CPPUNIT_TEST(needs_its_sections);
+    CPPUNIT_TEST(reports_missing_sections);
     CPPUNIT_TEST(survives_any_bytes);
     CPPUNIT_TEST(envelope_survives_a_round_trip);
     CPPUNIT_TEST(lists_go_over_lines);
@@ -135,7 +135,7 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{3}, findings.size());
     }
 
-    void needs_its_sections()
+    void reports_missing_sections()
     {
         const auto findings = findings_of("");
         CPPUNIT_ASSERT_EQUAL(std::size_t{5}, findings.size());
