--- a/unit_tests/config/fleet_text_test.cpp
+++ b/unit_tests/config/fleet_text_test.cpp
@@ -70,7 +70,7 @@
     CPPUNIT_TEST(reports_missing_sections);
     CPPUNIT_TEST(arbitrary_bytes_do_not_crash_the_parsers);
     CPPUNIT_TEST(envelope_survives_a_round_trip);
-    CPPUNIT_TEST(lists_go_over_lines);
+    CPPUNIT_TEST(lists_may_span_several_lines);
     CPPUNIT_TEST(settings_are_checked);
     CPPUNIT_TEST_SUITE_END();
 
@@ -166,7 +166,7 @@
         CPPUNIT_ASSERT(envelope.drains.empty());
     }
 
-    void lists_go_over_lines()
+    void lists_may_span_several_lines()
     {
         const std::string block = "[callers c]\nregion = mersin\nblocks[] = 127.0.0.0/24\n";
         const auto parsed = parse_fleet(
