--- a/unit_tests/logging/event_schema_test.cpp
+++ b/unit_tests/logging/event_schema_test.cpp
@@ -125,12 +125,12 @@
 
 class event_schema_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(event_schema_test);
-    CPPUNIT_TEST(the_page_is_the_table);
+    CPPUNIT_TEST(documented_events_match_the_schema);
     CPPUNIT_TEST(the_code_writes_just_what_the_table_says);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void the_page_is_the_table()
+    void documented_events_match_the_schema()
     {
         const auto page = text_of(PROJECT_ROOT "/docs/LOG_EVENTS.md");
         for (const auto& row : event_schema()) {
