--- a/unit_tests/logging/line_writer_test.cpp
+++ b/unit_tests/logging/line_writer_test.cpp
@@ -50,13 +50,13 @@
 
 class line_writer_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(line_writer_test);
-    CPPUNIT_TEST(a_reader_that_stops_costs_lines_and_no_time);
+    CPPUNIT_TEST(a_stalled_reader_drops_lines_without_blocking);
     CPPUNIT_TEST(a_line_written_in_part_is_completed);
     CPPUNIT_TEST_SUITE_END();
 
 public:
     /// With a blocking descriptor this test would hang.
-    void a_reader_that_stops_costs_lines_and_no_time()
+    void a_stalled_reader_drops_lines_without_blocking()
     {
         constexpr int lines = 10'000; // Exceeds the capacity of a pipe.
         stalled_reader reader;
