--- a/source/trace/log_source.cpp
+++ b/source/trace/log_source.cpp
@@ -114,7 +114,7 @@
 {
     std::vector<char> buffer(buffer_bytes);
     std::uintmax_t read = 0;
-    std::uintmax_t told = 0;
+    std::uintmax_t reported = 0;
     for (const auto& name : files_) {
         std::ifstream in;
         in.rdbuf()->pubsetbuf(buffer.data(), static_cast<std::streamsize>(buffer.size()));
@@ -125,8 +125,8 @@
         for (std::string line; std::getline(in, line);) {
             read += line.size() + 1;
             take(line);
-            if (progress && read - told >= progress_bytes) {
-                told = read;
+            if (progress && read - reported >= progress_bytes) {
+                reported = read;
                 progress(read);
             }
         }
