--- a/source/almondquay/commands.h
+++ b/source/almondquay/commands.h
@@ -21,7 +21,7 @@
 result_code run_believed(const command_line& c);
 
 /// Prints "almondquay: 2004 platform_conflict: ..." and returns the code.
-result_code complain(const error& e);
+result_code report_error(const error& e);
 
 /// Reads a whole file. Errors: text_unreadable.
 result<std::string> read_file(const std::string& path);
--- a/source/almondquay/host_commands.cpp
+++ b/source/almondquay/host_commands.cpp
@@ -68,15 +68,15 @@
 result_code judge(const std::vector<host_status>& all)
 {
     if (all.empty()) {
-        return complain({result_code::no_host_answered, ""});
+        return report_error({result_code::no_host_answered, ""});
     }
     std::set<std::pair<std::uint64_t, std::uint64_t>> versions;
     for (const auto& s : all) {
         versions.emplace(s.in_force, s.fingerprint);
     }
     if (versions.size() > 1) {
-        return complain({result_code::fleet_disagrees,
-                         std::to_string(versions.size()) + " different versions are in force"});
+        return report_error({result_code::fleet_disagrees,
+                             std::to_string(versions.size()) + " different versions are in force"});
     }
     return result_code::ok;
 }
@@ -123,7 +123,7 @@
         told += succeeded(answer) ? 1 : 0;
     }
     if (told == 0) {
-        return complain({result_code::no_host_answered, ""});
+        return report_error({result_code::no_host_answered, ""});
     }
     std::cout << "released on " << told << " hosts\n";
     return result_code::ok;
@@ -133,7 +133,7 @@
 {
     const auto merged = gather_timeline(session);
     if (!succeeded(merged)) {
-        return complain(error_of(merged));
+        return report_error(error_of(merged));
     }
     if (c.json) {
         std::cout << encode(value_of(merged)) << '\n';
@@ -150,11 +150,11 @@
 {
     const auto merged = gather_timeline(session);
     if (!succeeded(merged)) {
-        return complain(error_of(merged));
+        return report_error(error_of(merged));
     }
     const auto chain = causal_chain(value_of(merged), c.subject);
     if (!succeeded(chain)) {
-        return complain(error_of(chain));
+        return report_error(error_of(chain));
     }
     std::cout << (c.json ? encode(value_of(chain)) + "\n" : format_decision_chain(value_of(chain)));
     return result_code::ok;
--- a/source/almondquay/log_commands.cpp
+++ b/source/almondquay/log_commands.cpp
@@ -147,11 +147,11 @@
 {
     const auto logs = open_logs(c);
     if (!succeeded(logs)) {
-        return complain(error_of(logs));
+        return report_error(error_of(logs));
     }
     const auto story = read_request_trace(value_of(logs), c.subject);
     if (!succeeded(story)) {
-        return complain(error_of(story));
+        return report_error(error_of(story));
     }
     const auto& told = value_of(story);
     const auto cause = find_cause(told);
@@ -170,7 +170,7 @@
     } else {
         print_story(told, cause);
     }
-    return cause.result.empty() ? complain({result_code::request_not_logged, told.id})
+    return cause.result.empty() ? report_error({result_code::request_not_logged, told.id})
                                 : result_code::ok;
 }
 
@@ -178,19 +178,19 @@
 {
     const auto at = parse_log_time(c.at);
     if (!at) {
-        return complain({result_code::usage_error, "'" + c.at + "' is not a valid time"});
+        return report_error({result_code::usage_error, "'" + c.at + "' is not a valid time"});
     }
     const auto logs = open_logs(c);
     if (!succeeded(logs)) {
-        return complain(error_of(logs));
+        return report_error(error_of(logs));
     }
     const auto belief = read_host_state(value_of(logs), c.subject, *at);
     if (!succeeded(belief)) {
-        return complain(error_of(belief));
+        return report_error(error_of(belief));
     }
     const auto& b = value_of(belief);
     if (b.lines == 0) {
-        return complain({result_code::host_not_logged, c.subject});
+        return report_error({result_code::host_not_logged, c.subject});
     }
     if (c.json) {
         std::cout << to_json(b).dump() << '\n';
--- a/source/almondquay/main.cpp
+++ b/source/almondquay/main.cpp
@@ -46,7 +46,7 @@
     }
     const auto text = read_file(c.settings_file);
     if (!succeeded(text)) {
-        return complain(error_of(text));
+        return report_error(error_of(text));
     }
     auto parsed =
         parse_process_settings(value_of(text), c.settings_file, process_kind::command_line);
--- a/source/almondquay/text_commands.cpp
+++ b/source/almondquay/text_commands.cpp
@@ -25,7 +25,7 @@
 {
     auto text = read_file(path);
     if (!succeeded(text)) {
-        complain(error_of(text));
+        report_error(error_of(text));
         return text;
     }
     const auto parsed = parse_fleet(value_of(text), path);
@@ -54,7 +54,7 @@
 
 } // namespace
 
-result_code complain(const error& e)
+result_code report_error(const error& e)
 {
     std::cerr << "almondquay: " << static_cast<int>(e.code) << ' ' << name_of(e.code) << ": "
               << meaning_of(e.code) << (e.detail.empty() ? "" : " (" + e.detail + ")") << '\n';
@@ -95,7 +95,7 @@
     }
     const auto read = read_fleet(session);
     if (!succeeded(read)) {
-        return complain(error_of(read));
+        return report_error(error_of(read));
     }
     const auto& current = value_of(read);
     // Without --read-at only the first text can be applied: there is no generation to read before.
@@ -104,9 +104,10 @@
     }
     const auto in_force = highest_in_force(session);
     if (in_force > current.envelope.number) {
-        return complain({result_code::platform_behind_fleet,
-                         "hosts have generation " + std::to_string(in_force.value) +
-                             " in force and will write it back to the platform; retry shortly"});
+        return report_error(
+            {result_code::platform_behind_fleet,
+             "hosts have generation " + std::to_string(in_force.value) +
+                 " in force and will write it back to the platform; retry shortly"});
     }
     auto next = current.envelope;
     next.number.value = current.envelope.number.value + 1;
@@ -117,10 +118,10 @@
     const auto written = write_fleet(session, current, next);
     if (code_of(written) == result_code::platform_conflict) {
         const auto now = read_fleet(session);
-        return succeeded(now) ? report_race(value_of(now)) : complain(error_of(written));
+        return succeeded(now) ? report_race(value_of(now)) : report_error(error_of(written));
     }
     if (!succeeded(written)) {
-        return complain(error_of(written));
+        return report_error(error_of(written));
     }
     std::cout << "accepted as generation " << next.number.value << '\n';
     return result_code::ok;
@@ -130,7 +131,7 @@
 {
     const auto read = read_fleet(session);
     if (!succeeded(read)) {
-        return complain(error_of(read));
+        return report_error(error_of(read));
     }
     const auto& envelope = value_of(read).envelope;
     if (c.json) {
