--- a/source/almondquay/host_commands.cpp
+++ b/source/almondquay/host_commands.cpp
@@ -84,7 +84,7 @@
 result<std::vector<decision>> gather_timeline(operator_session& session)
 {
     std::vector<std::vector<decision>> records;
-    for (const auto& [host, answer] : ask_hosts(session, "timeline")) {
+    for (const auto& [host, answer] : call_hosts(session, "timeline")) {
         auto decoded = succeeded(answer) ? decode_decisions(value_of(answer))
                                          : result<std::vector<decision>>(error_of(answer));
         if (succeeded(decoded)) {
@@ -101,7 +101,7 @@
 
 result_code run_status(operator_session& session, const command_line& c)
 {
-    const auto all = decode_all(ask_hosts(session, "status"), c.json);
+    const auto all = decode_all(call_hosts(session, "status"), c.json);
     if (c.json) {
         std::cout << '[';
         for (std::size_t i = 0; i < all.size(); ++i) {
@@ -119,7 +119,7 @@
 result_code run_release(operator_session& session, const command_line& c)
 {
     std::size_t told = 0;
-    for (const auto& [host, answer] : ask_hosts(session, "release", c.subject)) {
+    for (const auto& [host, answer] : call_hosts(session, "release", c.subject)) {
         told += succeeded(answer) ? 1 : 0;
     }
     if (told == 0) {
--- a/source/almondquay/operator_session.cpp
+++ b/source/almondquay/operator_session.cpp
@@ -108,8 +108,8 @@
     return succeeded(written) ? result<done>(done{}) : result<done>(error_of(written));
 }
 
-host_answers ask_hosts(operator_session& session, const std::string& method,
-                       const std::string& argument)
+host_answers call_hosts(operator_session& session, const std::string& method,
+                        const std::string& argument)
 {
     host_answers fleets;
     const auto hosts = find_hosts(session, fleets);
@@ -125,7 +125,7 @@
 generation highest_in_force(operator_session& session)
 {
     generation highest;
-    for (const auto& [host, answer] : ask_hosts(session, "fleet")) {
+    for (const auto& [host, answer] : call_hosts(session, "fleet")) {
         if (!succeeded(answer)) {
             continue;
         }
--- a/source/almondquay/operator_session.h
+++ b/source/almondquay/operator_session.h
@@ -47,8 +47,8 @@
 
 /// Calls `method` on every host: the seeds of the settings and the hosts listed in the fleet texts
 /// that the seeds have in force.
-host_answers ask_hosts(operator_session& session, const std::string& method,
-                       const std::string& argument = "");
+host_answers call_hosts(operator_session& session, const std::string& method,
+                        const std::string& argument = "");
 
 /// The highest generation that any host has in force; 0 if no host responded.
 generation highest_in_force(operator_session& session);
