--- a/source/almondquay/operator_session.cpp
+++ b/source/almondquay/operator_session.cpp
@@ -19,8 +19,9 @@
     session.io.run();
 }
 
-void ask(operator_session& session, const std::set<endpoint>& hosts, const std::string& method,
-         const std::string& argument, host_answers& answers)
+void call_remaining_hosts(operator_session& session, const std::set<endpoint>& hosts,
+                          const std::string& method, const std::string& argument,
+                          host_answers& answers)
 {
     for (const auto& host : hosts) {
         if (answers.contains(host)) {
@@ -47,7 +48,7 @@
 std::set<endpoint> find_hosts(operator_session& session, host_answers& fleets)
 {
     std::set<endpoint> hosts(session.settings.seeds.begin(), session.settings.seeds.end());
-    ask(session, hosts, "fleet", "", fleets);
+    call_remaining_hosts(session, hosts, "fleet", "", fleets);
     for (const auto& [host, answer] : fleets) {
         const auto envelope = succeeded(answer) ? decode_fleet_envelope(value_of(answer))
                                                 : result<fleet_envelope>(error_of(answer));
@@ -114,11 +115,11 @@
     host_answers fleets;
     const auto hosts = find_hosts(session, fleets);
     if (method == "fleet") {
-        ask(session, hosts, method, argument, fleets);
+        call_remaining_hosts(session, hosts, method, argument, fleets);
         return fleets;
     }
     host_answers answers;
-    ask(session, hosts, method, argument, answers);
+    call_remaining_hosts(session, hosts, method, argument, answers);
     return answers;
 }
 
