--- a/source/almondquay/operator_session.cpp
+++ b/source/almondquay/operator_session.cpp
@@ -93,12 +93,14 @@
                          const fleet_envelope& next)
 {
     result<object_version> written = error{result_code::platform_unavailable, ""};
-    const auto keep = [&written](result<object_version> answer) { written = std::move(answer); };
+    const auto on_written = [&written](result<object_version> answer) {
+        written = std::move(answer);
+    };
     const std::string key(fleet_object_key);
     if (read.version == 0) {
-        session.store->create(key, encode(next), keep);
+        session.store->create(key, encode(next), on_written);
     } else {
-        session.store->update(key, read.version, encode(next), keep);
+        session.store->update(key, read.version, encode(next), on_written);
     }
     finish_calls(session);
     if (code_of(written) == result_code::platform_answer_lost) {
