--- a/source/almondquayd/daemon.cpp
+++ b/source/almondquayd/daemon.cpp
@@ -55,7 +55,7 @@
 {
     const event e{std::move(body), std::chrono::steady_clock::now(),
                   std::chrono::system_clock::now()};
-    carry_out(d.effects_runner, reduce(d.state, e));
+    execute_effects(d.effects_runner, reduce(d.state, e));
 }
 
 std::string read_file(const std::string& path)
--- a/source/almondquayd/interpreter.cpp
+++ b/source/almondquayd/interpreter.cpp
@@ -183,7 +183,7 @@
 
 } // namespace
 
-void carry_out(interpreter& i, effects&& todo)
+void execute_effects(interpreter& i, effects&& todo)
 {
     for (const auto& e : todo) {
         std::visit([&](const auto& one) { run(i, one); }, e);
--- a/source/almondquayd/interpreter.h
+++ b/source/almondquayd/interpreter.h
@@ -27,6 +27,6 @@
 };
 
 /// Starts the effects in order; their results arrive as events through `emit`.
-void carry_out(interpreter& i, effects&& todo);
+void execute_effects(interpreter& i, effects&& todo);
 
 } // namespace almondquay
