--- a/source/almondquayd/daemon.cpp
+++ b/source/almondquayd/daemon.cpp
@@ -44,7 +44,7 @@
     std::unique_ptr<http::server> peers;
     std::unique_ptr<http::server> metrics_side;
     std::unique_ptr<traffic_server> traffic;
-    interpreter effects_runner;
+    interpreter effect_interpreter;
     asio::steady_timer ticks{io};
     asio::signal_set signals{io, SIGTERM, SIGINT, SIGHUP};
     std::string settings_text; ///< contents of the settings file when it was last read
@@ -55,7 +55,7 @@
 {
     const event e{std::move(body), std::chrono::steady_clock::now(),
                   std::chrono::system_clock::now()};
-    execute_effects(d.effects_runner, reduce(d.state, e));
+    execute_effects(d.effect_interpreter, reduce(d.state, e));
 }
 
 std::string read_file(const std::string& path)
@@ -312,8 +312,8 @@
     }
     d.rpc = rpc_server::create(d.settings.secret,
                                make_operator_api(d.state, d.timeline, *d.traffic, emit));
-    d.effects_runner = {&d.settings,     d.store.get(), d.client.get(), d.gossip.get(),
-                        d.traffic.get(), &d.timeline,   emit,           [&d] { d.io.stop(); }};
+    d.effect_interpreter = {&d.settings,     d.store.get(), d.client.get(), d.gossip.get(),
+                            d.traffic.get(), &d.timeline,   emit,           [&d] { d.io.stop(); }};
     return done{};
 }
 
