--- a/source/almondquayd/daemon.cpp
+++ b/source/almondquayd/daemon.cpp
@@ -184,7 +184,7 @@
     }
 }
 
-result<done> open_metrics_side(daemon_parts& d)
+result<done> open_metrics_server(daemon_parts& d)
 {
     if (d.settings.metrics.port == 0) {
         return done{};
@@ -302,7 +302,7 @@
     if (!succeeded(peer_side)) {
         return peer_side;
     }
-    auto metrics_side = open_metrics_side(d);
+    auto metrics_side = open_metrics_server(d);
     if (!succeeded(metrics_side)) {
         return metrics_side;
     }
