--- a/source/almondquayd/daemon.cpp
+++ b/source/almondquayd/daemon.cpp
@@ -201,7 +201,7 @@
     return done{};
 }
 
-result<done> open_peer_side(daemon_parts& d)
+result<done> open_peer_servers(daemon_parts& d)
 {
     const endpoint at{d.settings.address, d.settings.peer_port};
     auto gossip =
@@ -298,7 +298,7 @@
     d.store = http_object_store::create(d.io, d.settings.platform, d.settings.platform_timeout,
                                         protocol_of(d.settings));
     d.client = http::client::create(d.io);
-    auto peer_side = open_peer_side(d);
+    auto peer_side = open_peer_servers(d);
     if (!succeeded(peer_side)) {
         return peer_side;
     }
