--- a/source/almondquayd/daemon.cpp
+++ b/source/almondquayd/daemon.cpp
@@ -263,7 +263,7 @@
     return self;
 }
 
-result<done> open_caller_side(daemon_parts& d, const std::function<void(event_body)>& emit)
+result<done> open_caller_server(daemon_parts& d, const std::function<void(event_body)>& emit)
 {
     const bool is_registry = d.settings.store == store_kind::registry;
     const traffic_settings settings{d.settings.host,
@@ -306,7 +306,7 @@
     if (!succeeded(metrics_side)) {
         return metrics_side;
     }
-    auto caller_side = open_caller_side(d, emit);
+    auto caller_side = open_caller_server(d, emit);
     if (!succeeded(caller_side)) {
         return caller_side;
     }
