--- a/source/almondquayd/daemon.cpp
+++ b/source/almondquayd/daemon.cpp
@@ -42,7 +42,7 @@
     std::unique_ptr<gossip_channel> gossip;
     std::unique_ptr<rpc_server> rpc;
     std::unique_ptr<http::server> peers;
-    std::unique_ptr<http::server> metrics_side;
+    std::unique_ptr<http::server> metrics_server;
     std::unique_ptr<traffic_server> traffic;
     interpreter effect_interpreter;
     asio::steady_timer ticks{io};
@@ -197,7 +197,7 @@
     if (!succeeded(opened)) {
         return error_of(opened);
     }
-    d.metrics_side = std::move(value_of(opened));
+    d.metrics_server = std::move(value_of(opened));
     return done{};
 }
 
@@ -302,9 +302,9 @@
     if (!succeeded(peer_side)) {
         return peer_side;
     }
-    auto metrics_side = open_metrics_server(d);
-    if (!succeeded(metrics_side)) {
-        return metrics_side;
+    auto metrics_server = open_metrics_server(d);
+    if (!succeeded(metrics_server)) {
+        return metrics_server;
     }
     auto caller_side = open_caller_server(d, emit);
     if (!succeeded(caller_side)) {
