--- a/source/almondquayd/daemon.cpp
+++ b/source/almondquayd/daemon.cpp
@@ -298,9 +298,9 @@
     d.store = http_object_store::create(d.io, d.settings.platform, d.settings.platform_timeout,
                                         protocol_of(d.settings));
     d.client = http::client::create(d.io);
-    auto peer_side = open_peer_servers(d);
-    if (!succeeded(peer_side)) {
-        return peer_side;
+    auto peer_servers = open_peer_servers(d);
+    if (!succeeded(peer_servers)) {
+        return peer_servers;
     }
     auto metrics_server = open_metrics_server(d);
     if (!succeeded(metrics_server)) {
