--- a/source/almondquayd/daemon.cpp
+++ b/source/almondquayd/daemon.cpp
@@ -306,9 +306,9 @@
     if (!succeeded(metrics_server)) {
         return metrics_server;
     }
-    auto caller_side = open_caller_server(d, emit);
-    if (!succeeded(caller_side)) {
-        return caller_side;
+    auto caller_server = open_caller_server(d, emit);
+    if (!succeeded(caller_server)) {
+        return caller_server;
     }
     d.rpc = rpc_server::create(d.settings.secret,
                                make_operator_api(d.state, d.timeline, *d.traffic, emit));
