--- a/source/almondquayd/daemon.cpp
+++ b/source/almondquayd/daemon.cpp
@@ -41,7 +41,7 @@
     std::unique_ptr<http::client> client;
     std::unique_ptr<gossip_channel> gossip;
     std::unique_ptr<rpc_server> rpc;
-    std::unique_ptr<http::server> peers;
+    std::unique_ptr<http::server> peer_server;
     std::unique_ptr<http::server> metrics_server;
     std::unique_ptr<traffic_server> traffic;
     interpreter effect_interpreter;
@@ -217,14 +217,14 @@
         return error_of(gossip);
     }
     d.gossip = std::move(value_of(gossip));
-    auto peers = http::server::create(
+    auto peer_server = http::server::create(
         d.io, at, [&d](const http::request& request, const http::responder& respond) {
             answer_peer(d, request, respond);
         });
-    if (!succeeded(peers)) {
-        return error_of(peers);
+    if (!succeeded(peer_server)) {
+        return error_of(peer_server);
     }
-    d.peers = std::move(value_of(peers));
+    d.peer_server = std::move(value_of(peer_server));
     return done{};
 }
 
