--- a/source/almondquayd/daemon.cpp
+++ b/source/almondquayd/daemon.cpp
@@ -45,7 +45,7 @@
     std::unique_ptr<http::server> metrics_server;
     std::unique_ptr<traffic_server> traffic;
     interpreter effect_interpreter;
-    asio::steady_timer ticks{io};
+    asio::steady_timer tick_timer{io};
     asio::signal_set signals{io, SIGTERM, SIGINT, SIGHUP};
     std::string settings_text; ///< contents of the settings file when it was last read
     std::chrono::steady_clock::time_point next_settings_check{};
@@ -107,8 +107,8 @@
 
 void schedule_tick(daemon_parts& d)
 {
-    d.ticks.expires_after(tick_interval);
-    d.ticks.async_wait([&d](const boost::system::error_code& problem) {
+    d.tick_timer.expires_after(tick_interval);
+    d.tick_timer.async_wait([&d](const boost::system::error_code& problem) {
         if (!problem) {
             handle(d, tick_event{});
             check_settings_file(d);
