--- a/source/almondquayd/daemon.cpp
+++ b/source/almondquayd/daemon.cpp
@@ -118,7 +118,7 @@
 }
 
 /// Logs what the shutdown is waiting for; called when a further stop signal arrives.
-void log_waiting(const daemon_parts& d)
+void log_shutdown_progress(const daemon_parts& d)
 {
     std::uint32_t running = 0;
     for (const auto& [id, t] : d.state.fleet.configuration.targets) {
@@ -145,7 +145,7 @@
         const bool is_stopping =
             d.state.stage == life_stage::leaving || d.state.stage == life_stage::ending;
         if (is_stopping) {
-            log_waiting(d);
+            log_shutdown_progress(d);
         } else {
             handle(d, stop_requested_event{});
         }
