--- a/source/almondquay/host_commands.cpp
+++ b/source/almondquay/host_commands.cpp
@@ -65,7 +65,7 @@
     return all;
 }
 
-result_code judge(const std::vector<host_status>& all)
+result_code check_agreement(const std::vector<host_status>& all)
 {
     if (all.empty()) {
         return report_error({result_code::no_host_answered, ""});
@@ -113,7 +113,7 @@
             print_status(s);
         }
     }
-    return judge(all);
+    return check_agreement(all);
 }
 
 result_code run_release(operator_session& session, const command_line& c)
