--- a/source/almondquay/host_commands.cpp
+++ b/source/almondquay/host_commands.cpp
@@ -118,14 +118,14 @@
 
 result_code run_release(operator_session& session, const command_line& c)
 {
-    std::size_t told = 0;
+    std::size_t released = 0;
     for (const auto& [host, answer] : call_hosts(session, "release", c.subject)) {
-        told += succeeded(answer) ? 1 : 0;
+        released += succeeded(answer) ? 1 : 0;
     }
-    if (told == 0) {
+    if (released == 0) {
         return report_error({result_code::no_host_answered, ""});
     }
-    std::cout << "released on " << told << " hosts\n";
+    std::cout << "released on " << released << " hosts\n";
     return result_code::ok;
 }
 
