--- a/source/almondquay/log_commands.cpp
+++ b/source/almondquay/log_commands.cpp
@@ -153,24 +153,24 @@
     if (!succeeded(story)) {
         return report_error(error_of(story));
     }
-    const auto& told = value_of(story);
-    const auto cause = find_cause(told);
+    const auto& traced = value_of(story);
+    const auto cause = find_cause(traced);
     if (c.json) {
-        std::cout << json{{"id", told.id},
+        std::cout << json{{"id", traced.id},
                           {"cause", cause.text},
                           {"result", cause.result},
                           {"outcome", cause.outcome},
                           {"host", cause.host},
                           {"target", cause.target},
-                          {"lines", to_json(told.lines)},
-                          {"context", to_json(told.context)},
-                          {"dropped", told.dropped}}
+                          {"lines", to_json(traced.lines)},
+                          {"context", to_json(traced.context)},
+                          {"dropped", traced.dropped}}
                          .dump()
                   << '\n';
     } else {
-        print_story(told, cause);
+        print_story(traced, cause);
     }
-    return cause.result.empty() ? report_error({result_code::request_not_logged, told.id})
+    return cause.result.empty() ? report_error({result_code::request_not_logged, traced.id})
                                 : result_code::ok;
 }
 
