--- a/source/almondquay/log_commands.cpp
+++ b/source/almondquay/log_commands.cpp
@@ -78,7 +78,7 @@
     return lines;
 }
 
-void print_story(const request_trace& story, const request_cause& cause)
+void print_request_trace(const request_trace& story, const request_cause& cause)
 {
     std::cout << "cause: " << cause.text << '\n';
     if (!cause.result.empty()) {
@@ -168,7 +168,7 @@
                          .dump()
                   << '\n';
     } else {
-        print_story(traced, cause);
+        print_request_trace(traced, cause);
     }
     return cause.result.empty() ? report_error({result_code::request_not_logged, traced.id})
                                 : result_code::ok;
