--- a/source/almondquay/log_commands.cpp
+++ b/source/almondquay/log_commands.cpp
@@ -106,7 +106,7 @@
     }
 }
 
-void print_belief(const logged_host_state& b)
+void print_host_state(const logged_host_state& b)
 {
     std::cout << b.host << ": " << b.stage << (b.since.empty() ? "" : ", started " + b.since)
               << '\n';
@@ -195,7 +195,7 @@
     if (c.json) {
         std::cout << to_json(b).dump() << '\n';
     } else {
-        print_belief(b);
+        print_host_state(b);
     }
     return result_code::ok;
 }
