--- a/source/almondquay/log_commands.cpp
+++ b/source/almondquay/log_commands.cpp
@@ -67,7 +67,7 @@
 }
 
 /// The lines closest in time to the end of the request, in their original order.
-std::vector<log_line> nearest(std::vector<log_line> lines, log_time end)
+std::vector<log_line> nearest_lines(std::vector<log_line> lines, log_time end)
 {
     const auto distance = [&](const log_line& line) {
         return line.time < end ? end - line.time : line.time - end;
@@ -91,7 +91,7 @@
     }
     std::cout << "lines of the request:\n";
     std::ranges::for_each(story.lines, print_line);
-    const auto context = nearest(story.context, story.lines.back().time);
+    const auto context = nearest_lines(story.context, story.lines.back().time);
     if (!context.empty()) {
         std::cout << "decisions of the same hosts (" << context.size() << " of "
                   << story.context.size() << "):\n";
