--- a/source/almondquay/text_commands.cpp
+++ b/source/almondquay/text_commands.cpp
@@ -21,7 +21,7 @@
 }
 
 /// Reads and validates a fleet text; prints its findings if there are any.
-result<std::string> read_good_text(const std::string& path)
+result<std::string> read_valid_text(const std::string& path)
 {
     auto text = read_file(path);
     if (!succeeded(text)) {
@@ -80,7 +80,7 @@
 
 result_code run_check(const command_line& c)
 {
-    const auto text = read_good_text(c.file);
+    const auto text = read_valid_text(c.file);
     if (succeeded(text)) {
         std::cout << c.file << ": no findings\n";
     }
@@ -89,7 +89,7 @@
 
 result_code run_apply(operator_session& session, const command_line& c)
 {
-    const auto text = read_good_text(c.file);
+    const auto text = read_valid_text(c.file);
     if (!succeeded(text)) {
         return error_of(text).code;
     }
