--- a/source/almondquay/text_commands.cpp
+++ b/source/almondquay/text_commands.cpp
@@ -42,7 +42,7 @@
         << envelope.reason << '\n';
 }
 
-result_code report_race(const platform_fleet& read)
+result_code report_conflict(const platform_fleet& read)
 {
     std::cerr
         << "almondquay: 2004 platform_conflict: the fleet text has changed since it was read:\n  ";
@@ -100,7 +100,7 @@
     const auto& current = value_of(read);
     // Without --read-at only the first text can be applied: there is no generation to read before.
     if (current.envelope.number.value != c.read_at.value_or(0)) {
-        return report_race(current);
+        return report_conflict(current);
     }
     const auto in_force = highest_in_force(session);
     if (in_force > current.envelope.number) {
@@ -118,7 +118,7 @@
     const auto written = write_fleet(session, current, next);
     if (code_of(written) == result_code::platform_conflict) {
         const auto now = read_fleet(session);
-        return succeeded(now) ? report_race(value_of(now)) : report_error(error_of(written));
+        return succeeded(now) ? report_conflict(value_of(now)) : report_error(error_of(written));
     }
     if (!succeeded(written)) {
         return report_error(error_of(written));
