--- a/source/almondquay/text_commands.cpp
+++ b/source/almondquay/text_commands.cpp
@@ -35,7 +35,7 @@
     return text;
 }
 
-void describe(std::ostream& out, const fleet_envelope& envelope)
+void print_change(std::ostream& out, const fleet_envelope& envelope)
 {
     out << "generation " << envelope.number.value << " of "
         << format_time({envelope.changed_at_ms, 0}) << " by " << envelope.changed_by << ": "
@@ -46,7 +46,7 @@
 {
     std::cerr
         << "almondquay: 2004 platform_conflict: the fleet text has changed since it was read:\n  ";
-    describe(std::cerr, read.envelope);
+    print_change(std::cerr, read.envelope);
     std::cerr << "Run `almondquay show`, merge the change and apply with --read-at "
               << read.envelope.number.value << ".\n";
     return result_code::platform_conflict;
@@ -139,7 +139,7 @@
         return result_code::ok;
     }
     std::cout << "; ";
-    describe(std::cout, envelope);
+    print_change(std::cout, envelope);
     for (const auto& mark : envelope.drains) {
         std::cout << "; drained: " << name_of(mark.kind) << ' ' << mark.name << '\n';
     }
