--- a/source/almondquay/drain_commands.cpp
+++ b/source/almondquay/drain_commands.cpp
@@ -10,7 +10,7 @@
 
 /// Limit on attempts to write a drain. Drains by different operators do not contradict each other,
 /// so a write that loses to another one is retried on top of it.
-constexpr int max_races = 5;
+constexpr int max_write_attempts = 5;
 
 bool is_known(const fleet& f, drain_kind kind, const std::string& name)
 {
@@ -79,7 +79,7 @@
 result_code run_drain(operator_session& session, const command_line& c)
 {
     result<generation> ended = error{result_code::platform_conflict, ""};
-    for (int race = 0; race < max_races; ++race) {
+    for (int race = 0; race < max_write_attempts; ++race) {
         ended = try_drain(session, c);
         if (code_of(ended) != result_code::platform_conflict) {
             break;
