--- a/source/almondquay/drain_commands.cpp
+++ b/source/almondquay/drain_commands.cpp
@@ -79,7 +79,7 @@
 result_code run_drain(operator_session& session, const command_line& c)
 {
     result<generation> ended = error{result_code::platform_conflict, ""};
-    for (int race = 0; race < max_write_attempts; ++race) {
+    for (int attempt = 0; attempt < max_write_attempts; ++attempt) {
         ended = try_drain(session, c);
         if (code_of(ended) != result_code::platform_conflict) {
             break;
