--- a/source/almondquay/drain_commands.cpp
+++ b/source/almondquay/drain_commands.cpp
@@ -38,7 +38,7 @@
     return done{};
 }
 
-std::string default_reason(const command_line& c)
+std::string change_reason(const command_line& c)
 {
     const bool drains = c.name == command_name::drain;
     return std::string(drains ? "drain " : "undrain ") + std::string(name_of(c.kind)) + " " +
@@ -65,7 +65,7 @@
     }
     next.number.value += 1;
     next.changed_by = operator_name();
-    next.reason = default_reason(c);
+    next.reason = change_reason(c);
     next.changed_at_ms = milliseconds_of(std::chrono::system_clock::now());
     const auto written = write_fleet(session, value_of(read), next);
     if (!succeeded(written)) {
