--- a/source/almondquay/command_line.cpp
+++ b/source/almondquay/command_line.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-struct command_row {
+struct command_spec {
     std::string_view word;
     command_name name;
     std::size_t operands;
@@ -19,7 +19,7 @@
     bool takes_logs = false; ///< any number of log paths may follow the operands
 };
 
-constexpr auto commands = std::to_array<command_row>({
+constexpr auto commands = std::to_array<command_spec>({
     {"check", command_name::check, 1,
      "check FILE                  report all findings in a fleet text"},
     {"apply", command_name::apply, 1, "apply FILE --read-at N      put a fleet text in force"},
@@ -124,7 +124,7 @@
     if (help.getValue() || words.empty()) {
         return error{result_code::usage_error, ""};
     }
-    const auto row = std::ranges::find(commands, words.front(), &command_row::word);
+    const auto row = std::ranges::find(commands, words.front(), &command_spec::word);
     const bool is_known = row != commands.end();
     const bool has_operands = is_known && (row->takes_logs ? words.size() > row->operands
                                                            : words.size() == row->operands + 1);
