--- a/unit_tests/fakes/fake_registry.cpp
+++ b/unit_tests/fakes/fake_registry.cpp
@@ -21,7 +21,7 @@
 namespace http = almondquay::http;
 using json = nlohmann::json;
 
-constexpr std::string_view root = "/-/objects/";
+constexpr std::string_view objects_prefix = "/-/objects/";
 
 struct change {
     std::uint64_t revision = 0;
@@ -158,11 +158,11 @@
         control(r, parts, respond);
         return;
     }
-    if (r.is_down || !parts.path.starts_with(root)) {
+    if (r.is_down || !parts.path.starts_with(objects_prefix)) {
         answer(respond, http::status_unavailable, json::object());
         return;
     }
-    const auto rest = parts.path.substr(root.size());
+    const auto rest = parts.path.substr(objects_prefix.size());
     const auto slash = rest.find('/');
     const auto kind = rest.substr(0, slash);
     const auto name = slash == std::string::npos ? std::string() : rest.substr(slash + 1);
