--- a/unit_tests/platform/registry_test.cpp
+++ b/unit_tests/platform/registry_test.cpp
@@ -12,7 +12,7 @@
 
 using json = nlohmann::json;
 
-json good_target()
+json valid_target_entry()
 {
     return {{"metadata", {{"name", "i-1"}, {"revision", 7}}},
             {"spec",
@@ -66,7 +66,7 @@
 public:
     void a_target_entry_becomes_a_target()
     {
-        const auto item = decode_item(inventory_kind::targets, good_target());
+        const auto item = decode_item(inventory_kind::targets, valid_target_entry());
         const auto& t = std::get<registered_target>(item.entry);
         CPPUNIT_ASSERT_EQUAL(std::string("i-1"), t.what.id.value);
         CPPUNIT_ASSERT_EQUAL(std::string("10.0.0.1:80"), to_string(t.what.address));
@@ -78,17 +78,17 @@
     void forged_target_entries_are_unreadable()
     {
         for (const auto* key : {"service", "address", "zone", "slots", "state", "cold_left_s"}) {
-            auto without = good_target();
+            auto without = valid_target_entry();
             without["spec"].erase(key);
             CPPUNIT_ASSERT_MESSAGE(key, is_unreadable(without));
-            auto other_type = good_target();
+            auto other_type = valid_target_entry();
             other_type["spec"][key] = json::array({1});
             CPPUNIT_ASSERT_MESSAGE(key, is_unreadable(other_type));
         }
-        auto unknown_state = good_target();
+        auto unknown_state = valid_target_entry();
         unknown_state["spec"]["state"] = "resting";
         CPPUNIT_ASSERT(is_unreadable(unknown_state));
-        auto no_port = good_target();
+        auto no_port = valid_target_entry();
         no_port["spec"]["address"] = "10.0.0.1";
         CPPUNIT_ASSERT(is_unreadable(no_port));
         CPPUNIT_ASSERT(is_unreadable(json(3)));
@@ -141,12 +141,13 @@
     {
         inventory_query question;
         question.kind = inventory_kind::targets;
-        const json list{{"items", json::array({good_target(), 5})}, {"has_more", true}, {"at", 9}};
+        const json list{
+            {"items", json::array({valid_target_entry(), 5})}, {"has_more", true}, {"at", 9}};
         const auto page = registry_protocol.decode_page(question, {200, {}, list.dump()});
         CPPUNIT_ASSERT_EQUAL(std::size_t{2}, value_of(page).items.size());
         CPPUNIT_ASSERT(value_of(page).has_more);
         question.follow = true;
-        const json gone{{"object", good_target()}, {"deleted", true}};
+        const json gone{{"object", valid_target_entry()}, {"deleted", true}};
         const json changes{{"events", json::array({gone})}, {"at", 11}};
         const auto change = registry_protocol.decode_page(question, {200, {}, changes.dump()});
         CPPUNIT_ASSERT(std::holds_alternative<deleted_entry>(value_of(change).items[0].entry));
