--- a/unit_tests/platform/registry_test.cpp
+++ b/unit_tests/platform/registry_test.cpp
@@ -52,7 +52,7 @@
 class registry_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(registry_test);
     CPPUNIT_TEST(a_target_entry_becomes_a_target);
-    CPPUNIT_TEST(forged_target_entries_are_unreadable);
+    CPPUNIT_TEST(malformed_target_entries_are_unreadable);
     CPPUNIT_TEST(a_manifest_becomes_a_fleet);
     CPPUNIT_TEST(broken_manifests_are_findings);
     CPPUNIT_TEST(versions_are_hexadecimal);
@@ -75,7 +75,7 @@
         CPPUNIT_ASSERT(!t.what.leaving && t.what.checks_identity);
     }
 
-    void forged_target_entries_are_unreadable()
+    void malformed_target_entries_are_unreadable()
     {
         for (const auto* key : {"service", "address", "zone", "slots", "state", "cold_left_s"}) {
             auto without = valid_target_entry();
