--- a/unit_tests/platform/registry_test.cpp
+++ b/unit_tests/platform/registry_test.cpp
@@ -59,7 +59,7 @@
     CPPUNIT_TEST(only_the_main_configuration_counts);
     CPPUNIT_TEST(pages_and_changes_are_read);
     CPPUNIT_TEST(refused_calls_have_codes);
-    CPPUNIT_TEST(our_own_entry_comes_back);
+    CPPUNIT_TEST(host_entries_round_trip);
     CPPUNIT_TEST(look_up_answers_name_addresses);
     CPPUNIT_TEST_SUITE_END();
 
@@ -165,7 +165,7 @@
         CPPUNIT_ASSERT(code(200) == result_code::platform_bad_answer);
     }
 
-    void our_own_entry_comes_back()
+    void host_entries_round_trip()
     {
         const host self{host_id("h"), failure_domain_id("z"), {"10.0.0.1", 1}, {"10.0.0.1", 2}};
         const json object{{"metadata", {{"name", "h"}}}, {"spec", encode_host(self)}};
