--- a/unit_tests/platform/registry_test.cpp
+++ b/unit_tests/platform/registry_test.cpp
@@ -58,7 +58,7 @@
     CPPUNIT_TEST(versions_are_hexadecimal);
     CPPUNIT_TEST(only_the_main_configuration_counts);
     CPPUNIT_TEST(pages_and_changes_are_read);
-    CPPUNIT_TEST(refused_calls_have_codes);
+    CPPUNIT_TEST(error_statuses_map_to_result_codes);
     CPPUNIT_TEST(host_entries_round_trip);
     CPPUNIT_TEST(look_up_answers_name_addresses);
     CPPUNIT_TEST_SUITE_END();
@@ -154,7 +154,7 @@
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{11}, value_of(change).at.value);
     }
 
-    void refused_calls_have_codes()
+    void error_statuses_map_to_result_codes()
     {
         const auto code = [](unsigned status) {
             return code_of(registry_protocol.decode_page({}, {status, {}, "{}"}));
