--- a/unit_tests/platform/registry_test.cpp
+++ b/unit_tests/platform/registry_test.cpp
@@ -56,7 +56,7 @@
     CPPUNIT_TEST(a_manifest_becomes_a_fleet);
     CPPUNIT_TEST(broken_manifests_are_findings);
     CPPUNIT_TEST(versions_are_hexadecimal);
-    CPPUNIT_TEST(only_the_main_configuration_counts);
+    CPPUNIT_TEST(other_configurations_are_ignored);
     CPPUNIT_TEST(pages_and_changes_are_read);
     CPPUNIT_TEST(error_statuses_map_to_result_codes);
     CPPUNIT_TEST(host_entries_round_trip);
@@ -130,7 +130,7 @@
         CPPUNIT_ASSERT(!succeeded(decode_envelope({{"version", 12}})));
     }
 
-    void only_the_main_configuration_counts()
+    void other_configurations_are_ignored()
     {
         const json other{{"metadata", {{"name", "draft"}}}, {"spec", manifest()}};
         const auto item = decode_item(inventory_kind::configuration, other);
