--- a/unit_tests/platform/registry_test.cpp
+++ b/unit_tests/platform/registry_test.cpp
@@ -60,7 +60,7 @@
     CPPUNIT_TEST(pages_and_changes_are_read);
     CPPUNIT_TEST(error_statuses_map_to_result_codes);
     CPPUNIT_TEST(host_entries_round_trip);
-    CPPUNIT_TEST(look_up_answers_name_addresses);
+    CPPUNIT_TEST(lookup_answers_list_addresses);
     CPPUNIT_TEST_SUITE_END();
 
 public:
@@ -173,7 +173,7 @@
         CPPUNIT_ASSERT(std::get<host>(item.entry) == self);
     }
 
-    void look_up_answers_name_addresses()
+    void lookup_answers_list_addresses()
     {
         const auto text =
             traffic_profile.encode_lookup({{"10.0.0.1", 80}}, std::chrono::milliseconds(1'500));
