--- a/unit_tests/platform/settings_template_test.cpp
+++ b/unit_tests/platform/settings_template_test.cpp
@@ -104,11 +104,11 @@
 
 class settings_template_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(settings_template_test);
-    CPPUNIT_TEST(fits_the_parser_at_the_design_size);
+    CPPUNIT_TEST(rendered_template_parses_at_the_design_size);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void fits_the_parser_at_the_design_size()
+    void rendered_template_parses_at_the_design_size()
     {
         constexpr std::size_t design_domains = 40;
         for (const std::size_t domains : {std::size_t{1}, std::size_t{9}, design_domains}) {
