--- a/unit_tests/support/action_queue.h
+++ b/unit_tests/support/action_queue.h
@@ -14,9 +14,9 @@
 /// Runs actions in order of their times; actions of equal times run in the order of insertion.
 class action_queue {
 public:
-    void add(std::chrono::milliseconds at, std::function<void()> act)
+    void add(std::chrono::milliseconds at, std::function<void()> action)
     {
-        actions_.push({at, orders_++, std::move(act)});
+        actions_.push({at, orders_++, std::move(action)});
     }
 
     /// Runs all actions, including those added while it runs; sets `now` before each action.
@@ -26,7 +26,7 @@
             const auto next = actions_.top();
             actions_.pop();
             now = next.at;
-            next.act();
+            next.action();
         }
     }
 
@@ -36,7 +36,7 @@
     struct timed_action {
         std::chrono::milliseconds at{};
         std::uint64_t order = 0;
-        std::function<void()> act;
+        std::function<void()> action;
     };
 
     struct later {
