--- a/unit_tests/support/action_queue.h
+++ b/unit_tests/support/action_queue.h
@@ -16,7 +16,7 @@
 public:
     void add(std::chrono::milliseconds at, std::function<void()> action)
     {
-        actions_.push({at, orders_++, std::move(action)});
+        actions_.push({at, next_order_++, std::move(action)});
     }
 
     /// Runs all actions, including those added while it runs; sets `now` before each action.
@@ -46,7 +46,7 @@
         }
     };
 
-    std::uint64_t orders_ = 0;
+    std::uint64_t next_order_ = 0;
     std::priority_queue<timed_action, std::vector<timed_action>, later> actions_;
 };
 
