--- a/unit_tests/fakes/fake_caller.cpp
+++ b/unit_tests/fakes/fake_caller.cpp
@@ -117,7 +117,7 @@
     co_return fresh;
 }
 
-void take_hosts(caller& c, const std::string& body)
+void update_hosts(caller& c, const std::string& body)
 {
     const auto answer = nlohmann::json::parse(body, nullptr, false);
     if (c.opts.registry && answer.is_object()) {
@@ -161,7 +161,7 @@
         beast::http::response<beast::http::string_body> answer;
         co_await beast::http::async_read(fresh->stream, fresh->buffer, answer, into(problem));
         if (!problem && answer.result() == beast::http::status::ok) {
-            take_hosts(c, answer.body());
+            update_hosts(c, answer.body());
             co_return;
         }
     }
