--- a/unit_tests/fakes/fake_caller.cpp
+++ b/unit_tests/fakes/fake_caller.cpp
@@ -54,7 +54,7 @@
     std::string refused_file;
 };
 
-struct choice {
+struct weighted_host {
     almondquay::endpoint address;
     unsigned weight = 0;
 };
@@ -63,7 +63,7 @@
     asio::io_context io{1};
     options opts;
     caller_report report;
-    std::vector<choice> hosts;
+    std::vector<weighted_host> hosts;
     clock_type::time_point hosts_expire{};
     clock_type::time_point start;
     clock_type::time_point end;
