--- a/unit_tests/fakes/fake_caller.cpp
+++ b/unit_tests/fakes/fake_caller.cpp
@@ -259,7 +259,8 @@
     }
 }
 
-void judge(caller& c, const answer& a, const std::string& echo, clock_type::time_point began)
+void record_result(caller& c, const answer& a, const std::string& echo,
+                   clock_type::time_point began)
 {
     if (a.problem) {
         ++c.report.lost;
@@ -339,7 +340,7 @@
             request = make_request(c, echo, key);
         }
     }
-    judge(c, a, echo, began);
+    record_result(c, a, echo, began);
 }
 
 asio::awaitable<void> send_all(caller& c, unsigned index)
