--- a/unit_tests/fakes/fake_caller.cpp
+++ b/unit_tests/fakes/fake_caller.cpp
@@ -247,14 +247,14 @@
 }
 
 /// Whether the status guarantees that the request has not run and will not run.
-bool is_promise(unsigned status)
+bool guarantees_not_run(unsigned status)
 {
     return status == 503 || status == 429 || status == 408 || status == 421;
 }
 
 void note_refusal(caller& c, const answer& a, const std::string& key)
 {
-    if (!a.problem && is_promise(a.status) && !c.opts.refused_file.empty()) {
+    if (!a.problem && guarantees_not_run(a.status) && !c.opts.refused_file.empty()) {
         std::ofstream(c.opts.refused_file, std::ios::app) << key << '\n';
     }
 }
@@ -300,7 +300,8 @@
 bool may_resend(const caller& c, const answer& a)
 {
     if (c.opts.registry) {
-        return is_promise(a.status) || !a.sent || (c.opts.method == "GET" && a.status != 200);
+        return guarantees_not_run(a.status) || !a.sent ||
+               (c.opts.method == "GET" && a.status != 200);
     }
     const bool unserved = a.problem || a.outcome == "not-run";
     return unserved && (c.opts.method == "GET" || c.opts.keys || !a.sent || !a.problem);
