--- a/unit_tests/fakes/fake_caller.cpp
+++ b/unit_tests/fakes/fake_caller.cpp
@@ -252,7 +252,7 @@
     return status == 503 || status == 429 || status == 408 || status == 421;
 }
 
-void note_refusal(caller& c, const answer& a, const std::string& key)
+void record_refusal(caller& c, const answer& a, const std::string& key)
 {
     if (!a.problem && guarantees_not_run(a.status) && !c.opts.refused_file.empty()) {
         std::ofstream(c.opts.refused_file, std::ios::app) << key << '\n';
@@ -328,7 +328,7 @@
         if (!a.keep_alive) {
             kept.reset();
         }
-        note_refusal(c, a, key);
+        record_refusal(c, a, key);
         if (!a.problem && a.status == 200 && c.opts.registry && (a.id != key || !a.is_sealed)) {
             a.echo = "another request's"; // Judged as wrong.
         }
