--- a/unit_tests/fakes/fake_caller.cpp
+++ b/unit_tests/fakes/fake_caller.cpp
@@ -307,7 +307,7 @@
     return unserved && (c.opts.method == "GET" || c.opts.keys || !a.sent || !a.problem);
 }
 
-asio::awaitable<void> send_one(caller& c, connection_ptr& kept)
+asio::awaitable<void> send_one(caller& c, connection_ptr& kept_connection)
 {
     const auto echo = std::to_string(c.sent++);
     const auto began = clock_type::now();
@@ -319,14 +319,14 @@
     for (unsigned tries = 0; tries <= c.opts.resends; ++tries) {
         last = co_await choose_host(c, avoid);
         a = answer{};
-        if (!kept || kept->to != last) {
-            kept = co_await open(c, last, request_timeout, a.problem);
+        if (!kept_connection || kept_connection->to != last) {
+            kept_connection = co_await open(c, last, request_timeout, a.problem);
         }
         if (!a.problem) {
-            a = co_await call(*kept, request);
+            a = co_await call(*kept_connection, request);
         }
         if (!a.keep_alive) {
-            kept.reset();
+            kept_connection.reset();
         }
         record_refusal(c, a, key);
         if (!a.problem && a.status == 200 && c.opts.registry && (a.id != key || !a.is_sealed)) {
@@ -346,7 +346,7 @@
 
 asio::awaitable<void> send_all(caller& c, unsigned index)
 {
-    connection_ptr kept;
+    connection_ptr kept_connection;
     asio::steady_timer timer(c.io);
     const auto gap = std::chrono::duration_cast<clock_type::duration>(
         std::chrono::duration<double>(c.opts.rate > 0 ? c.opts.connections / c.opts.rate : 0));
@@ -357,7 +357,7 @@
         if (c.opts.rate > 0) {
             co_await timer.async_wait(into(ignored));
         }
-        co_await send_one(c, kept);
+        co_await send_one(c, kept_connection);
         due += gap;
     }
 }
