--- a/unit_tests/fakes/fake_platform.cpp
+++ b/unit_tests/fakes/fake_platform.cpp
@@ -60,7 +60,7 @@
     std::map<std::string, std::uint64_t> calls;
 };
 
-bool take(token_bucket& bucket)
+bool try_take_token(token_bucket& bucket)
 {
     const auto now = clock_type::now();
     const std::chrono::duration<double> passed = now - bucket.last;
@@ -114,7 +114,7 @@
     const auto after = http::header_of(parts.parameters, "after");
     const auto wait = http::header_of(parts.parameters, "wait_ms");
     ++p.calls[after.empty() ? "read" : "watch"];
-    if (!take(p.reads)) {
+    if (!try_take_token(p.reads)) {
         return respond({http::status_too_many_requests, {}, {}});
     }
     const auto object = p.objects.find(key);
@@ -145,7 +145,7 @@
                   const http::responder& respond)
 {
     ++p.calls["write"];
-    if (!take(p.writes)) {
+    if (!try_take_token(p.writes)) {
         return respond({http::status_too_many_requests, {}, {}});
     }
     constexpr std::size_t max_object_bytes = 1UL << 20U;
