--- a/unit_tests/fakes/fake_platform.cpp
+++ b/unit_tests/fakes/fake_platform.cpp
@@ -78,7 +78,7 @@
     return {http::status_ok, {{"ETag", '"' + std::to_string(object.version) + '"'}}, object.body};
 }
 
-void wake_watches(platform& p, const std::string& key)
+void notify_watches(platform& p, const std::string& key)
 {
     for (auto watch = p.watches.begin(); watch != p.watches.end();) {
         const auto object = p.objects.find(key);
@@ -161,7 +161,7 @@
     } else {
         p.objects[key] = {r.body, version};
     }
-    wake_watches(p, key);
+    notify_watches(p, key);
     if (p.active.lose_writes > 0) {
         --p.active.lose_writes;
         return; // The write has taken effect, but its writer gets no answer.
@@ -188,7 +188,7 @@
         p.objects = p.saved;
         for (auto& [key, object] : p.objects) {
             object.version = p.next_version++;
-            wake_watches(p, key);
+            notify_watches(p, key);
         }
     } else {
         return respond({http::status_bad_request, {}, {}});
