--- a/unit_tests/fakes/fake_registry.cpp
+++ b/unit_tests/fakes/fake_registry.cpp
@@ -72,7 +72,7 @@
     return events;
 }
 
-void wake(registry& r, const std::string& kind)
+void notify_watches(registry& r, const std::string& kind)
 {
     if (r.is_deaf) {
         return;
@@ -99,7 +99,7 @@
         r.kinds[kind][name] = object;
     }
     r.history.push_back({r.revision, kind, {{"object", object}, {"deleted", deleted}}});
-    wake(r, kind);
+    notify_watches(r, kind);
 }
 
 void list(const registry& r, const std::string& kind, const http::responder& respond)
