--- a/unit_tests/fakes/fake_registry.cpp
+++ b/unit_tests/fakes/fake_registry.cpp
@@ -29,7 +29,7 @@
     json event;
 };
 
-struct waiting_question {
+struct waiting_watch {
     std::string kind;
     std::uint64_t since = 0;
     http::responder respond;
@@ -46,7 +46,7 @@
     bool is_deaf = false;
     std::map<std::string, std::map<std::string, json>> kinds;
     std::vector<change> history;
-    std::list<waiting_question> waiting;
+    std::list<waiting_watch> waiting;
 };
 
 std::uint64_t number_of(std::string_view text)
