--- a/unit_tests/fakes/fake_registry.cpp
+++ b/unit_tests/fakes/fake_registry.cpp
@@ -126,14 +126,13 @@
         return;
     }
     r.waiting.push_back({kind, since, respond, std::make_unique<asio::steady_timer>(*r.io, wait)});
-    const auto question = std::prev(r.waiting.end());
-    question->limit->async_wait([&r, question](const boost::system::error_code& problem) {
+    const auto watch = std::prev(r.waiting.end());
+    watch->limit->async_wait([&r, watch](const boost::system::error_code& problem) {
         if (problem || r.is_deaf) {
             return;
         }
-        answer(question->respond, http::status_ok,
-               {{"events", json::array()}, {"at", question->since}});
-        r.waiting.erase(question);
+        answer(watch->respond, http::status_ok, {{"events", json::array()}, {"at", watch->since}});
+        r.waiting.erase(watch);
     });
 }
 
