--- a/unit_tests/fakes/fake_registry.cpp
+++ b/unit_tests/fakes/fake_registry.cpp
@@ -113,8 +113,8 @@
     answer(respond, http::status_ok, {{"items", items}, {"has_more", false}, {"at", r.revision}});
 }
 
-void follow(registry& r, const std::string& kind, std::uint64_t since,
-            std::chrono::milliseconds wait, const http::responder& respond)
+void watch_changes(registry& r, const std::string& kind, std::uint64_t since,
+                   std::chrono::milliseconds wait, const http::responder& respond)
 {
     if (since < r.forgotten) {
         answer(respond, http::status_gone, json::object());
@@ -183,7 +183,7 @@
     } else if (const auto since = http::header_of(parts.parameters, "watch"); !since.empty()) {
         const std::chrono::milliseconds wait(
             number_of(http::header_of(parts.parameters, "wait_ms")));
-        follow(r, kind, number_of(since), wait, respond);
+        watch_changes(r, kind, number_of(since), wait, respond);
     } else {
         list(r, kind, respond);
     }
