--- a/unit_tests/fakes/fake_registry.cpp
+++ b/unit_tests/fakes/fake_registry.cpp
@@ -41,7 +41,7 @@
 
     asio::io_context* io;
     std::uint64_t revision = 1;
-    std::uint64_t forgotten = 0; ///< watches from an earlier revision get 410
+    std::uint64_t oldest_revision = 0; ///< watches from an earlier revision get 410
     bool is_down = false;
     bool is_deaf = false;
     std::map<std::string, std::map<std::string, json>> kinds;
@@ -116,7 +116,7 @@
 void watch_changes(registry& r, const std::string& kind, std::uint64_t since,
                    std::chrono::milliseconds wait, const http::responder& respond)
 {
-    if (since < r.forgotten) {
+    if (since < r.oldest_revision) {
         answer(respond, http::status_gone, json::object());
         return;
     }
@@ -145,7 +145,7 @@
     } else if (fault == "deaf") {
         r.is_deaf = value != 0;
     } else if (fault == "forget") {
-        r.forgotten = r.revision;
+        r.oldest_revision = r.revision;
     }
     respond({http::status_ok, {}, {}});
 }
