--- a/unit_tests/fakes/fake_relay.cpp
+++ b/unit_tests/fakes/fake_relay.cpp
@@ -40,7 +40,7 @@
     bool silent = false;
 };
 
-using relayed_ptr = std::shared_ptr<relayed>;
+using relayed_connection_ptr = std::shared_ptr<relayed>;
 
 struct relay {
     asio::io_context io{1};
@@ -56,7 +56,7 @@
     return asio::redirect_error(asio::use_awaitable, problem);
 }
 
-asio::awaitable<void> pump(relay& all, relayed_ptr r, tcp::socket& from, tcp::socket& to)
+asio::awaitable<void> pump(relay& all, relayed_connection_ptr r, tcp::socket& from, tcp::socket& to)
 {
     const bool is_answer = &from == &r->out;
     asio::steady_timer pause(all.io);
@@ -79,7 +79,7 @@
     }
 }
 
-asio::awaitable<void> join_ends(relay& all, relayed_ptr r)
+asio::awaitable<void> join_ends(relay& all, relayed_connection_ptr r)
 {
     error_code problem;
     co_await r->out.async_connect(all.to, into(problem));
