--- a/unit_tests/fakes/fake_relay.cpp
+++ b/unit_tests/fakes/fake_relay.cpp
@@ -33,19 +33,19 @@
 
 constexpr std::chrono::milliseconds longest_delay{150};
 
-struct relayed {
-    explicit relayed(asio::io_context& io) : in(io), out(io) {}
+struct relayed_connection {
+    explicit relayed_connection(asio::io_context& io) : in(io), out(io) {}
     tcp::socket in;
     tcp::socket out;
     bool silent = false;
 };
 
-using relayed_connection_ptr = std::shared_ptr<relayed>;
+using relayed_connection_ptr = std::shared_ptr<relayed_connection>;
 
 struct relay {
     asio::io_context io{1};
     tcp::endpoint to;
-    std::vector<std::weak_ptr<relayed>> open;
+    std::vector<std::weak_ptr<relayed_connection>> open;
     bool cut = false;
     bool one_way = false; ///< a connection goes silent when an answer arrives on it
     std::chrono::milliseconds delay{0};
@@ -96,7 +96,7 @@
 {
     tcp::acceptor acceptor(all.io, at);
     while (true) {
-        const auto r = std::make_shared<relayed>(all.io);
+        const auto r = std::make_shared<relayed_connection>(all.io);
         error_code problem;
         co_await acceptor.async_accept(r->in, into(problem));
         if (!problem && !all.cut) {
