--- a/unit_tests/fakes/fake_relay.cpp
+++ b/unit_tests/fakes/fake_relay.cpp
@@ -79,7 +79,7 @@
     }
 }
 
-asio::awaitable<void> join_ends(relay& all, relayed_connection_ptr r)
+asio::awaitable<void> start_relaying(relay& all, relayed_connection_ptr r)
 {
     error_code problem;
     co_await r->out.async_connect(all.to, into(problem));
@@ -101,7 +101,7 @@
         co_await acceptor.async_accept(r->in, into(problem));
         if (!problem && !all.cut) {
             all.open.push_back(r);
-            asio::co_spawn(all.io, join_ends(all, r), asio::detached);
+            asio::co_spawn(all.io, start_relaying(all, r), asio::detached);
         }
     }
 }
