--- a/unit_tests/fakes/fake_relay.cpp
+++ b/unit_tests/fakes/fake_relay.cpp
@@ -22,7 +22,7 @@
 /// Fake of the network between two endpoints: a TCP relay. POST /control?fault=NAME at its control
 /// address injects a fault: silence (open connections forward nothing any more, new ones work), cut
 /// (closes all connections and, until heal, each new one), reset (resets all connections), delay
-/// (until heal, forwards each read only after `longest_delay`), oneway (until heal, a connection
+/// (until heal, forwards each read only after `forward_delay`), oneway (until heal, a connection
 /// forwards nothing any more once an answer arrives on it); heal ends cut, delay and oneway.
 namespace {
 
@@ -31,7 +31,7 @@
 using tcp = asio::ip::tcp;
 using error_code = boost::system::error_code;
 
-constexpr std::chrono::milliseconds longest_delay{150};
+constexpr std::chrono::milliseconds forward_delay{150};
 
 struct relayed_connection {
     explicit relayed_connection(asio::io_context& io) : in(io), out(io) {}
@@ -138,7 +138,7 @@
     } else if (fault == "reset") {
         close_all(all, true);
     } else if (fault == "delay") {
-        all.delay = longest_delay;
+        all.delay = forward_delay;
     } else if (fault == "oneway") {
         all.one_way = true;
     } else {
