--- a/unit_tests/fakes/fake_target.cpp
+++ b/unit_tests/fakes/fake_target.cpp
@@ -135,7 +135,7 @@
 
 /// Waits for `time`. Returns false, and counts a cancellation, if the socket becomes readable
 /// first, which is taken to mean that the other end has closed it.
-asio::awaitable<bool> work(target& t, tcp::socket& socket, std::chrono::milliseconds time)
+asio::awaitable<bool> simulate_work(target& t, tcp::socket& socket, std::chrono::milliseconds time)
 {
     if (time.count() == 0) {
         co_return true;
@@ -211,7 +211,7 @@
         std::_Exit(1);
     }
     if (fault == "never") {
-        co_await work(t, socket, std::chrono::hours(1));
+        co_await simulate_work(t, socket, std::chrono::hours(1));
     } else if (fault == "garbage") {
         co_await write_text(socket, "\x01\x02 not http at all\r\n\r\n", problem);
     } else if (fault == "cut") {
@@ -263,7 +263,7 @@
             std::ofstream(t.runs_file, std::ios::app) << key << '\n';
         }
     }
-    if (!co_await work(t, socket, std::chrono::milliseconds(number(parts, "ms", 0)))) {
+    if (!co_await simulate_work(t, socket, std::chrono::milliseconds(number(parts, "ms", 0)))) {
         problem = asio::error::eof;
         co_return;
     }
