--- a/unit_tests/fakes/fake_target.cpp
+++ b/unit_tests/fakes/fake_target.cpp
@@ -141,10 +141,10 @@
         co_return true;
     }
     asio::steady_timer timer(t.io, time);
-    const auto gone = std::make_shared<bool>(false);
-    socket.async_wait(tcp::socket::wait_read, [gone, &timer](const error_code& problem) {
+    const auto peer_closed = std::make_shared<bool>(false);
+    socket.async_wait(tcp::socket::wait_read, [peer_closed, &timer](const error_code& problem) {
         if (!problem) {
-            *gone = true;
+            *peer_closed = true;
             timer.cancel();
         }
     });
@@ -152,8 +152,8 @@
     co_await timer.async_wait(into(ignored));
     socket.cancel(ignored);
     co_await asio::post(t.io, asio::use_awaitable);
-    t.cancelled += *gone ? 1 : 0;
-    co_return !*gone;
+    t.cancelled += *peer_closed ? 1 : 0;
+    co_return !*peer_closed;
 }
 
 /// An endless answer: how it begins and what is repeated after that.
