--- a/unit_tests/fakes/fake_target.cpp
+++ b/unit_tests/fakes/fake_target.cpp
@@ -73,7 +73,8 @@
     return asio::redirect_error(asio::use_awaitable, problem);
 }
 
-std::uint64_t number(const message::path_parts& parts, std::string_view name, std::uint64_t other)
+std::uint64_t number_parameter(const message::path_parts& parts, std::string_view name,
+                               std::uint64_t other)
 {
     const auto value = std::string(message::header_of(parts.parameters, name));
     return value.empty() ? other : std::stoull(value);
@@ -263,7 +264,8 @@
             std::ofstream(t.runs_file, std::ios::app) << key << '\n';
         }
     }
-    if (!co_await simulate_work(t, socket, std::chrono::milliseconds(number(parts, "ms", 0)))) {
+    if (!co_await simulate_work(t, socket,
+                                std::chrono::milliseconds(number_parameter(parts, "ms", 0)))) {
         problem = asio::error::eof;
         co_return;
     }
@@ -284,7 +286,7 @@
                 "\r\nX-Server-Load: " + std::to_string(t.in_flight) + ",0," +
                 std::to_string(t.slots);
     }
-    co_await write_answer(socket, number(parts, "bytes", 100), echo, problem);
+    co_await write_answer(socket, number_parameter(parts, "bytes", 100), echo, problem);
 }
 
 asio::awaitable<void> serve(target& t, tcp::socket socket)
