--- a/benchmarks/capacity_benchmark.cpp
+++ b/benchmarks/capacity_benchmark.cpp
@@ -80,7 +80,7 @@
 }
 
 /// Delivers the heartbeats of all hosts, as a host would receive them within a few gossip rounds.
-void hear_all(control_state& state, std::uint64_t beat, std::int64_t ms)
+void deliver_heartbeats(control_state& state, std::uint64_t beat, std::int64_t ms)
 {
     gossip_message message;
     message.from = host_id("h1");
@@ -105,7 +105,7 @@
                 sent += encode(gossip->message, secret).size();
             }
         }
-        hear_all(state, static_cast<std::uint64_t>(i) + 1, 1'000 + 250 * i);
+        deliver_heartbeats(state, static_cast<std::uint64_t>(i) + 1, 1'000 + 250 * i);
     }
     us = microseconds_since(start) / rounds;
     bytes = static_cast<double>(sent) / rounds;
@@ -122,7 +122,7 @@
     const auto out =
         reduce(state, at(1'000, fleet_read_event{stored_object{"fleet", 1, encode(envelope)}}));
     const auto adopt_us = microseconds_since(start);
-    hear_all(state, 1, 1'000);
+    deliver_heartbeats(state, 1, 1'000);
     const auto after = heap_bytes();
     start = clock_type::now();
     const auto snapshot = build_snapshot(state);
