--- a/benchmarks/membership_benchmark.cpp
+++ b/benchmarks/membership_benchmark.cpp
@@ -27,14 +27,14 @@
 /// Limit on false deaths that are printed; further ones are only counted.
 constexpr std::size_t max_false_deaths_told = 300;
 
-struct flying {
+struct sent_datagram {
     std::int64_t at = 0;
     std::size_t to = 0;
     gossip_message message;
 };
 
 struct later {
-    bool operator()(const flying& a, const flying& b) const { return a.at > b.at; }
+    bool operator()(const sent_datagram& a, const sent_datagram& b) const { return a.at > b.at; }
 };
 
 struct outcome {
@@ -174,7 +174,7 @@
     fleet_shape shape_;
     shared_secret secret_{"a secret for measuring"};
     std::vector<control_state> hosts_;
-    std::priority_queue<flying, std::vector<flying>, later> flying_;
+    std::priority_queue<sent_datagram, std::vector<sent_datagram>, later> flying_;
     std::mt19937_64 random_{7};
     std::int64_t now_ = 0;
     std::size_t dead_from_ = static_cast<std::size_t>(-1);
