--- a/benchmarks/membership_benchmark.cpp
+++ b/benchmarks/membership_benchmark.cpp
@@ -124,7 +124,7 @@
                     continue;
                 }
                 const auto to = index_of(shape_, gossip->peer);
-                flying_.push({now_ + 1, to, std::move(gossip->message)});
+                sent_datagrams_.push({now_ + 1, to, std::move(gossip->message)});
             } else if (const auto* record = std::get_if<record_effect>(&e)) {
                 const bool is_death = record->made.kind == "host_dead";
                 const bool is_true = record->made.summary.find("Host domain-0-0 ") == 0;
@@ -141,9 +141,9 @@
 
     void deliver()
     {
-        while (!flying_.empty()) {
-            const auto next = flying_.top();
-            flying_.pop();
+        while (!sent_datagrams_.empty()) {
+            const auto next = sent_datagrams_.top();
+            sent_datagrams_.pop();
             if (is_running(next.to)) {
                 take(next.to, gossip_event{next.message});
             }
@@ -174,7 +174,7 @@
     fleet_shape shape_;
     shared_secret secret_{"a secret for measuring"};
     std::vector<control_state> hosts_;
-    std::priority_queue<sent_datagram, std::vector<sent_datagram>, later> flying_;
+    std::priority_queue<sent_datagram, std::vector<sent_datagram>, later> sent_datagrams_;
     std::mt19937_64 random_{7};
     std::int64_t now_ = 0;
     std::size_t dead_from_ = static_cast<std::size_t>(-1);
