--- a/benchmarks/membership_benchmark.cpp
+++ b/benchmarks/membership_benchmark.cpp
@@ -25,7 +25,7 @@
 };
 
 /// Limit on false deaths that are printed; further ones are only counted.
-constexpr std::size_t max_false_deaths_told = 300;
+constexpr std::size_t max_printed_false_deaths = 300;
 
 struct sent_datagram {
     std::int64_t at = 0;
@@ -130,7 +130,7 @@
                 const bool is_true = record->made.summary.find("Host domain-0-0 ") == 0;
                 const bool is_false = is_death && !(is_true && dead_from_ == 0);
                 result_.false_deaths += is_false ? 1 : 0;
-                if (is_false && result_.false_deaths <= max_false_deaths_told) {
+                if (is_false && result_.false_deaths <= max_printed_false_deaths) {
                     std::cerr << now_ << " ms, at " << record->made.host << ": "
                               << record->made.summary << ' ' << record->made.inputs.at(1).value
                               << " ms of silence\n";
