--- a/benchmarks/membership_benchmark.cpp
+++ b/benchmarks/membership_benchmark.cpp
@@ -104,7 +104,7 @@
                 }
             }
             deliver();
-            note_deaths(death_ms);
+            record_detection(death_ms);
         }
         result_.bytes_per_host_s = static_cast<double>(bytes_) * 1'000.0 /
                                    static_cast<double>(end_ms) / static_cast<double>(hosts_.size());
@@ -150,7 +150,7 @@
         }
     }
 
-    void note_deaths(std::int64_t death_ms)
+    void record_detection(std::int64_t death_ms)
     {
         if (now_ < death_ms) {
             return;
