--- a/benchmarks/membership_benchmark.cpp
+++ b/benchmarks/membership_benchmark.cpp
@@ -97,7 +97,7 @@
         constexpr std::int64_t death_ms = 60'000;
         const std::int64_t end_ms = shape_.seconds * 1'000;
         for (now_ = 250; now_ < end_ms; now_ += 250) {
-            dead_from_ = now_ >= death_ms ? 0 : hosts_.size();
+            dead_host_ = now_ >= death_ms ? 0 : hosts_.size();
             for (std::size_t i = 0; i < hosts_.size(); ++i) {
                 if (is_running(i)) {
                     take(i, tick_event{});
@@ -112,7 +112,7 @@
     }
 
 private:
-    bool is_running(std::size_t i) const { return i != dead_from_; }
+    bool is_running(std::size_t i) const { return i != dead_host_; }
 
     void take(std::size_t i, event_body body)
     {
@@ -128,7 +128,7 @@
             } else if (const auto* record = std::get_if<record_effect>(&e)) {
                 const bool is_death = record->made.kind == "host_dead";
                 const bool is_true = record->made.summary.find("Host domain-0-0 ") == 0;
-                const bool is_false = is_death && !(is_true && dead_from_ == 0);
+                const bool is_false = is_death && !(is_true && dead_host_ == 0);
                 result_.false_deaths += is_false ? 1 : 0;
                 if (is_false && result_.false_deaths <= max_printed_false_deaths) {
                     std::cerr << now_ << " ms, at " << record->made.host << ": "
@@ -177,7 +177,7 @@
     std::priority_queue<sent_datagram, std::vector<sent_datagram>, later> sent_datagrams_;
     std::mt19937_64 random_{7};
     std::int64_t now_ = 0;
-    std::size_t dead_from_ = static_cast<std::size_t>(-1);
+    std::size_t dead_host_ = static_cast<std::size_t>(-1);
     std::size_t bytes_ = 0;
     outcome result_;
 };
