--- a/benchmarks/membership_benchmark.cpp
+++ b/benchmarks/membership_benchmark.cpp
@@ -87,7 +87,7 @@
                                                      incarnation(1'800'000'000'000),
                                                      {}},
                                                     hosts_.size() + 1));
-                take(hosts_.size() - 1, fleet_read_event{object});
+                apply_event(hosts_.size() - 1, fleet_read_event{object});
             }
         }
     }
@@ -100,7 +100,7 @@
             dead_host_ = now_ >= death_ms ? 0 : hosts_.size();
             for (std::size_t i = 0; i < hosts_.size(); ++i) {
                 if (is_running(i)) {
-                    take(i, tick_event{});
+                    apply_event(i, tick_event{});
                 }
             }
             deliver();
@@ -114,7 +114,7 @@
 private:
     bool is_running(std::size_t i) const { return i != dead_host_; }
 
-    void take(std::size_t i, event_body body)
+    void apply_event(std::size_t i, event_body body)
     {
         for (auto& e : reduce(hosts_[i], at(now_, std::move(body)))) {
             if (auto* gossip = std::get_if<send_gossip_effect>(&e)) {
@@ -145,7 +145,7 @@
             const auto next = sent_datagrams_.top();
             sent_datagrams_.pop();
             if (is_running(next.to)) {
-                take(next.to, gossip_event{next.message});
+                apply_event(next.to, gossip_event{next.message});
             }
         }
     }
