--- a/benchmarks/picking_benchmark.cpp
+++ b/benchmarks/picking_benchmark.cpp
@@ -20,7 +20,7 @@
 constexpr double round_trip = 0.05; ///< between two hosts or a host and a target
 constexpr double retry_pause = 0.1; ///< before the retry of a request that a target rejected
 constexpr double report_interval = 0.5;
-constexpr double patience = 20; ///< a request that has waited longer is not retried
+constexpr double max_wait = 20; ///< a request that has waited longer is not retried
 constexpr std::size_t jobs_per_slot = 1'000;
 
 struct job {
@@ -182,7 +182,7 @@
             continue;
         }
         ++o.over_limit;
-        if (retry && now.at - j.arrival < patience) {
+        if (retry && now.at - j.arrival < max_wait) {
             steps.push({now.at + round_trip + retry_pause, step_kind::attempt, now.job_index, 0});
         } else {
             ++o.lost;
