--- a/benchmarks/picking_benchmark.cpp
+++ b/benchmarks/picking_benchmark.cpp
@@ -104,14 +104,14 @@
 
 enum class choice { random, two_random, least_own, reported };
 
-struct uncoordinated {
+struct target_loads {
     std::vector<std::uint32_t> in_flight;            ///< actual number, by target
     std::vector<std::uint32_t> reported;             ///< as of the latest report
     std::vector<std::vector<std::uint32_t>> by_host; ///< each host's own requests, by target
     std::mt19937_64 random{2};
 };
 
-std::size_t pick(uncoordinated& u, choice how, std::size_t host)
+std::size_t pick(target_loads& u, choice how, std::size_t host)
 {
     const auto targets = u.in_flight.size();
     const auto first = u.random() % targets;
@@ -147,7 +147,7 @@
 
 outcome without_coordination(const shape& s, const std::vector<job>& jobs, choice how, bool retry)
 {
-    uncoordinated u;
+    target_loads u;
     u.in_flight.resize(s.targets);
     u.reported.resize(s.targets);
     u.by_host.assign(s.hosts, std::vector<std::uint32_t>(s.targets));
