--- a/benchmarks/picking_benchmark.cpp
+++ b/benchmarks/picking_benchmark.cpp
@@ -102,7 +102,7 @@
     return o;
 }
 
-enum class choice { random, two_random, least_own, reported };
+enum class selection_policy { random, two_random, least_own, reported };
 
 struct target_loads {
     std::vector<std::uint32_t> in_flight;            ///< actual number, by target
@@ -111,15 +111,15 @@
     std::mt19937_64 random{2};
 };
 
-std::size_t pick(target_loads& u, choice how, std::size_t host)
+std::size_t pick(target_loads& u, selection_policy how, std::size_t host)
 {
     const auto targets = u.in_flight.size();
     const auto first = u.random() % targets;
-    if (how == choice::random) {
+    if (how == selection_policy::random) {
         return first;
     }
-    const auto& seen = how == choice::reported ? u.reported : u.by_host[host];
-    if (how == choice::two_random) {
+    const auto& seen = how == selection_policy::reported ? u.reported : u.by_host[host];
+    if (how == selection_policy::two_random) {
         const auto second = u.random() % targets;
         return seen[second] < seen[first] ? second : first;
     }
@@ -145,7 +145,8 @@
     bool operator()(const step& a, const step& b) const { return a.at > b.at; }
 };
 
-outcome without_coordination(const shape& s, const std::vector<job>& jobs, choice how, bool retry)
+outcome without_coordination(const shape& s, const std::vector<job>& jobs, selection_policy how,
+                             bool retry)
 {
     target_loads u;
     u.in_flight.resize(s.targets);
@@ -222,11 +223,14 @@
     print(s, "one ideal queue", one_queue(s, jobs, false), n);
     print(s, "split slots", split_slots(s, jobs), n);
     print(s, "permits from a dispatcher", one_queue(s, jobs, true), n);
-    print(s, "two random choices", without_coordination(s, jobs, choice::two_random, true), n);
-    print(s, "least in flight", without_coordination(s, jobs, choice::least_own, true), n);
-    print(s, "reported load", without_coordination(s, jobs, choice::reported, true), n);
-    print(s, "random", without_coordination(s, jobs, choice::random, true), n);
-    print(s, "random without retry", without_coordination(s, jobs, choice::random, false), n);
+    print(s, "two random choices",
+          without_coordination(s, jobs, selection_policy::two_random, true), n);
+    print(s, "least in flight", without_coordination(s, jobs, selection_policy::least_own, true),
+          n);
+    print(s, "reported load", without_coordination(s, jobs, selection_policy::reported, true), n);
+    print(s, "random", without_coordination(s, jobs, selection_policy::random, true), n);
+    print(s, "random without retry", without_coordination(s, jobs, selection_policy::random, false),
+          n);
     std::cout << "erlang_b," << s.hosts << ',' << s.targets << ',' << s.load << ",bound,,,,"
               << erlang_b(s.load * slots_per_target, slots_per_target) << '\n';
 }
