--- a/benchmarks/picking_benchmark.cpp
+++ b/benchmarks/picking_benchmark.cpp
@@ -111,15 +111,15 @@
     std::mt19937_64 random{2};
 };
 
-std::size_t pick(target_loads& u, selection_policy how, std::size_t host)
+std::size_t pick(target_loads& u, selection_policy policy, std::size_t host)
 {
     const auto targets = u.in_flight.size();
     const auto first = u.random() % targets;
-    if (how == selection_policy::random) {
+    if (policy == selection_policy::random) {
         return first;
     }
-    const auto& seen = how == selection_policy::reported ? u.reported : u.by_host[host];
-    if (how == selection_policy::two_random) {
+    const auto& seen = policy == selection_policy::reported ? u.reported : u.by_host[host];
+    if (policy == selection_policy::two_random) {
         const auto second = u.random() % targets;
         return seen[second] < seen[first] ? second : first;
     }
@@ -145,7 +145,7 @@
     bool operator()(const step& a, const step& b) const { return a.at > b.at; }
 };
 
-outcome without_coordination(const shape& s, const std::vector<job>& jobs, selection_policy how,
+outcome without_coordination(const shape& s, const std::vector<job>& jobs, selection_policy policy,
                              bool retry)
 {
     target_loads u;
@@ -174,7 +174,7 @@
             --u.by_host[j.host][now.target];
             continue;
         }
-        const auto target = pick(u, how, j.host);
+        const auto target = pick(u, policy, j.host);
         if (u.in_flight[target] < slots_per_target) {
             ++u.in_flight[target];
             ++u.by_host[j.host][target];
