--- a/benchmarks/picking_benchmark.cpp
+++ b/benchmarks/picking_benchmark.cpp
@@ -73,7 +73,7 @@
     return free_times(std::greater<>(), std::vector<double>(count, 0.0));
 }
 
-outcome one_queue(const shape& s, const std::vector<job>& jobs, bool is_remote)
+outcome shared_queue(const shape& s, const std::vector<job>& jobs, bool is_remote)
 {
     auto slots = make_slots(s.targets * slots_per_target);
     outcome o;
@@ -220,9 +220,9 @@
 {
     const auto jobs = record_arrivals(s);
     const auto n = jobs.size();
-    print(s, "one ideal queue", one_queue(s, jobs, false), n);
+    print(s, "one ideal queue", shared_queue(s, jobs, false), n);
     print(s, "split slots", split_slots(s, jobs), n);
-    print(s, "permits from a dispatcher", one_queue(s, jobs, true), n);
+    print(s, "permits from a dispatcher", shared_queue(s, jobs, true), n);
     print(s, "two random choices",
           without_coordination(s, jobs, selection_policy::two_random, true), n);
     print(s, "least in flight", without_coordination(s, jobs, selection_policy::least_own, true),
