--- a/benchmarks/picking_benchmark.cpp
+++ b/benchmarks/picking_benchmark.cpp
@@ -58,13 +58,14 @@
 
 using free_times = std::priority_queue<double, std::vector<double>, std::greater<>>;
 
-/// The time at which `j` starts in a queue with one server per slot; `away` is the round trip to
-/// the host that keeps the queue.
-double start_in_queue(free_times& slots, const job& j, double away)
+/// The time at which `j` starts in a queue with one server per slot; `queue_round_trip` is the
+/// round trip to the host that keeps the queue.
+double start_in_queue(free_times& slots, const job& j, double queue_round_trip)
 {
-    const double start = std::max(j.arrival + away / 2, slots.top()) + away / 2;
+    const double start =
+        std::max(j.arrival + queue_round_trip / 2, slots.top()) + queue_round_trip / 2;
     slots.pop();
-    slots.push(start + j.service + away / 2);
+    slots.push(start + j.service + queue_round_trip / 2);
     return start;
 }
 
@@ -79,8 +80,8 @@
     outcome o;
     for (const auto& j : jobs) {
         // Host 0 keeps the queue; its own requests need no round trip.
-        const double away = is_remote && j.host != 0 ? round_trip : 0;
-        o.waits.push_back(start_in_queue(slots, j, away) - j.arrival);
+        const double queue_round_trip = is_remote && j.host != 0 ? round_trip : 0;
+        o.waits.push_back(start_in_queue(slots, j, queue_round_trip) - j.arrival);
     }
     return o;
 }
