--- a/benchmarks/fleet_change_benchmark.cpp
+++ b/benchmarks/fleet_change_benchmark.cpp
@@ -57,7 +57,7 @@
     return t;
 }
 
-gossip_message beat_of(std::size_t n, std::uint64_t life, std::uint64_t beat)
+gossip_message heartbeat_message(std::size_t n, std::uint64_t life, std::uint64_t beat)
 {
     gossip_message message;
     message.from = make_host(1).id;
@@ -91,7 +91,7 @@
     reduce(state, at(milliseconds(2), peer_fleet_event{"peer", text}));
     reduce(state, at(milliseconds(3), peer_inventory_event{"peer", copy}));
     for (std::size_t n = 1; n < hosts; ++n) {
-        reduce(state, at(milliseconds(4), gossip_event{beat_of(n, 1, 1)}));
+        reduce(state, at(milliseconds(4), gossip_event{heartbeat_message(n, 1, 1)}));
     }
     return state;
 }
@@ -113,7 +113,7 @@
     const auto change = ms_each([&](int i) {
         const auto n = static_cast<std::size_t>(i) % (hosts - 1) + 1;
         const auto life = static_cast<std::uint64_t>(i) + 2;
-        reduce(state, at(milliseconds(10), gossip_event{beat_of(n, life, 1)}));
+        reduce(state, at(milliseconds(10), gossip_event{heartbeat_message(n, life, 1)}));
     });
     const auto tick =
         ms_each([&](int i) { reduce(state, at(milliseconds(20 + i), tick_event{})); });
