--- a/unit_tests/fakes/fake_relay.cpp
+++ b/unit_tests/fakes/fake_relay.cpp
@@ -56,19 +56,20 @@
     return asio::redirect_error(asio::use_awaitable, problem);
 }
 
-asio::awaitable<void> pump(relay& all, relayed_connection_ptr r, tcp::socket& from, tcp::socket& to)
+asio::awaitable<void> pump(relay& state, relayed_connection_ptr r, tcp::socket& from,
+                           tcp::socket& to)
 {
     const bool is_answer = &from == &r->out;
-    asio::steady_timer pause(all.io);
+    asio::steady_timer pause(state.io);
     std::array<char, 65536> buffer{};
     error_code problem;
     while (!problem) {
         const auto size = co_await from.async_read_some(asio::buffer(buffer), into(problem));
-        if (!problem && all.delay.count() != 0) {
-            pause.expires_after(all.delay);
+        if (!problem && state.delay.count() != 0) {
+            pause.expires_after(state.delay);
             co_await pause.async_wait(into(problem));
         }
-        r->silent = r->silent || (all.one_way && is_answer);
+        r->silent = r->silent || (state.one_way && is_answer);
         if (!problem && !r->silent) {
             co_await asio::async_write(to, asio::buffer(buffer.data(), size), into(problem));
         }
@@ -79,36 +80,36 @@
     }
 }
 
-asio::awaitable<void> start_relaying(relay& all, relayed_connection_ptr r)
+asio::awaitable<void> start_relaying(relay& state, relayed_connection_ptr r)
 {
     error_code problem;
-    co_await r->out.async_connect(all.to, into(problem));
+    co_await r->out.async_connect(state.to, into(problem));
     if (problem) {
         co_return;
     }
     r->in.set_option(tcp::no_delay(true), problem);
     r->out.set_option(tcp::no_delay(true), problem);
-    asio::co_spawn(all.io, pump(all, r, r->in, r->out), asio::detached);
-    asio::co_spawn(all.io, pump(all, r, r->out, r->in), asio::detached);
+    asio::co_spawn(state.io, pump(state, r, r->in, r->out), asio::detached);
+    asio::co_spawn(state.io, pump(state, r, r->out, r->in), asio::detached);
 }
 
-asio::awaitable<void> listen(relay& all, tcp::endpoint at)
+asio::awaitable<void> listen(relay& state, tcp::endpoint at)
 {
-    tcp::acceptor acceptor(all.io, at);
+    tcp::acceptor acceptor(state.io, at);
     while (true) {
-        const auto r = std::make_shared<relayed_connection>(all.io);
+        const auto r = std::make_shared<relayed_connection>(state.io);
         error_code problem;
         co_await acceptor.async_accept(r->in, into(problem));
-        if (!problem && !all.cut) {
-            all.open.push_back(r);
-            asio::co_spawn(all.io, start_relaying(all, r), asio::detached);
+        if (!problem && !state.cut) {
+            state.open.push_back(r);
+            asio::co_spawn(state.io, start_relaying(state, r), asio::detached);
         }
     }
 }
 
-void close_all(relay& all, bool with_reset)
+void close_all(relay& state, bool with_reset)
 {
-    for (const auto& weak : all.open) {
+    for (const auto& weak : state.open) {
         if (const auto r = weak.lock()) {
             error_code ignored;
             if (with_reset) { // Closing with a linger time of 0 sends a RST.
@@ -119,32 +120,32 @@
             r->out.close(ignored);
         }
     }
-    all.open.clear();
+    state.open.clear();
 }
 
-void control(relay& all, const http::request& request, const http::responder& respond)
+void control(relay& state, const http::request& request, const http::responder& respond)
 {
     const auto parts = http::split_path(request.path);
     const auto fault = http::header_of(parts.parameters, "fault");
     if (fault == "silence") {
-        for (const auto& weak : all.open) {
+        for (const auto& weak : state.open) {
             if (const auto r = weak.lock()) {
                 r->silent = true;
             }
         }
     } else if (fault == "cut") {
-        all.cut = true;
-        close_all(all, false);
+        state.cut = true;
+        close_all(state, false);
     } else if (fault == "reset") {
-        close_all(all, true);
+        close_all(state, true);
     } else if (fault == "delay") {
-        all.delay = forward_delay;
+        state.delay = forward_delay;
     } else if (fault == "oneway") {
-        all.one_way = true;
+        state.one_way = true;
     } else {
-        all.cut = false;
-        all.one_way = false;
-        all.delay = {};
+        state.cut = false;
+        state.one_way = false;
+        state.delay = {};
     }
     respond({http::status_ok, {}, {}});
 }
@@ -164,16 +165,16 @@
     TCLAP::ValueArg<std::string> to("", "to", "where to", true, "", "IP:PORT", line);
     TCLAP::ValueArg<std::string> control_at("", "control", "address", true, "", "IP:PORT", line);
     line.parse(argc, argv);
-    relay all;
-    all.to = to_tcp(to.getValue());
-    asio::co_spawn(all.io, listen(all, to_tcp(at.getValue())), asio::detached);
+    relay state;
+    state.to = to_tcp(to.getValue());
+    asio::co_spawn(state.io, listen(state, to_tcp(at.getValue())), asio::detached);
     const auto server = http::server::create(
-        all.io, almondquay::value_of(almondquay::parse_endpoint(control_at.getValue())),
-        [&all](const http::request& r, const http::responder& respond) {
-            control(all, r, respond);
+        state.io, almondquay::value_of(almondquay::parse_endpoint(control_at.getValue())),
+        [&state](const http::request& r, const http::responder& respond) {
+            control(state, r, respond);
         });
-    asio::signal_set signals(all.io, SIGTERM, SIGINT);
-    signals.async_wait([&all](const error_code&, int) { all.io.stop(); });
-    all.io.run();
+    asio::signal_set signals(state.io, SIGTERM, SIGINT);
+    signals.async_wait([&state](const error_code&, int) { state.io.stop(); });
+    state.io.run();
     return almondquay::succeeded(server) ? 0 : 1;
 }
