--- a/unit_tests/fakes/fake_target.cpp
+++ b/unit_tests/fakes/fake_target.cpp
@@ -74,10 +74,10 @@
 }
 
 std::uint64_t number_parameter(const message::path_parts& parts, std::string_view name,
-                               std::uint64_t other)
+                               std::uint64_t fallback)
 {
     const auto value = std::string(message::header_of(parts.parameters, name));
-    return value.empty() ? other : std::stoull(value);
+    return value.empty() ? fallback : std::stoull(value);
 }
 
 std::string stats(const target& t)
