--- a/unit_tests/fakes/fake_platform.cpp
+++ b/unit_tests/fakes/fake_platform.cpp
@@ -22,7 +22,7 @@
 namespace http = almondquay::http;
 using clock_type = std::chrono::steady_clock;
 
-struct stored {
+struct stored_object {
     std::string body;
     std::uint64_t version = 0;
 };
@@ -50,8 +50,8 @@
 
 struct platform {
     asio::io_context io{1};
-    std::map<std::string, stored> objects;
-    std::map<std::string, stored> saved; ///< as of the latest "save"; restored by "rollback"
+    std::map<std::string, stored_object> objects;
+    std::map<std::string, stored_object> saved; ///< as of the latest "save"; restored by "rollback"
     std::list<waiting_watch> watches;
     std::uint64_t next_version = 1;
     faults active;
@@ -73,7 +73,7 @@
     return true;
 }
 
-http::response object_answer(const stored& object)
+http::response object_answer(const stored_object& object)
 {
     return {http::status_ok, {{"ETag", '"' + std::to_string(object.version) + '"'}}, object.body};
 }
