--- a/benchmarks/membership_benchmark.cpp
+++ b/benchmarks/membership_benchmark.cpp
@@ -177,6 +177,7 @@
     std::priority_queue<sent_datagram, std::vector<sent_datagram>, later> sent_datagrams_;
     std::mt19937_64 random_{7};
     std::int64_t now_ = 0;
+    /// Index of the dead host; not a valid index while no host is dead.
     std::size_t dead_host_ = static_cast<std::size_t>(-1);
     std::size_t bytes_ = 0;
     outcome result_;
