--- a/source/almondquay/drain_commands.cpp
+++ b/source/almondquay/drain_commands.cpp
@@ -88,7 +88,7 @@
     if (!succeeded(ended)) {
         return report_error(error_of(ended));
     }
-    std::cout << "in generation " << value_of(ended).value << '\n';
+    std::cout << "recorded in generation " << value_of(ended).value << '\n';
     return result_code::ok;
 }
 
--- a/source/almondquay/host_commands.cpp
+++ b/source/almondquay/host_commands.cpp
@@ -31,7 +31,7 @@
 {
     for (const auto& m : s.members) {
         if (!m.alive || m.leaving) {
-            std::cout << "    sees " << m.id << (m.alive ? " leaving" : " dead") << '\n';
+            std::cout << "    sees " << m.id << (m.alive ? " as leaving" : " as dead") << '\n';
         }
     }
 }
