--- a/benchmarks/picking_benchmark.cpp
+++ b/benchmarks/picking_benchmark.cpp
@@ -112,16 +112,16 @@
     std::mt19937_64 random{2};
 };
 
-std::size_t pick(target_loads& u, selection_policy policy, std::size_t host)
+std::size_t pick(target_loads& loads, selection_policy policy, std::size_t host)
 {
-    const auto targets = u.in_flight.size();
-    const auto first = u.random() % targets;
+    const auto targets = loads.in_flight.size();
+    const auto first = loads.random() % targets;
     if (policy == selection_policy::random) {
         return first;
     }
-    const auto& seen = policy == selection_policy::reported ? u.reported : u.by_host[host];
+    const auto& seen = policy == selection_policy::reported ? loads.reported : loads.by_host[host];
     if (policy == selection_policy::two_random) {
-        const auto second = u.random() % targets;
+        const auto second = loads.random() % targets;
         return seen[second] < seen[first] ? second : first;
     }
     // Starting at a random index spreads ties over the targets.
@@ -149,10 +149,10 @@
 outcome without_coordination(const shape& s, const std::vector<job>& jobs, selection_policy policy,
                              bool retry)
 {
-    target_loads u;
-    u.in_flight.resize(s.targets);
-    u.reported.resize(s.targets);
-    u.by_host.assign(s.hosts, std::vector<std::uint32_t>(s.targets));
+    target_loads loads;
+    loads.in_flight.resize(s.targets);
+    loads.reported.resize(s.targets);
+    loads.by_host.assign(s.hosts, std::vector<std::uint32_t>(s.targets));
     std::priority_queue<step, std::vector<step>, later> steps;
     for (std::size_t i = 0; i < jobs.size(); ++i) {
         steps.push({jobs[i].arrival, step_kind::attempt, i, 0});
@@ -163,7 +163,7 @@
         const auto now = steps.top();
         steps.pop();
         if (now.kind == step_kind::report) {
-            u.reported = u.in_flight;
+            loads.reported = loads.in_flight;
             if (!steps.empty()) {
                 steps.push({now.at + report_interval, step_kind::report, 0, 0});
             }
@@ -171,14 +171,14 @@
         }
         const auto& j = jobs[now.job_index];
         if (now.kind == step_kind::end) {
-            --u.in_flight[now.target];
-            --u.by_host[j.host][now.target];
+            --loads.in_flight[now.target];
+            --loads.by_host[j.host][now.target];
             continue;
         }
-        const auto target = pick(u, policy, j.host);
-        if (u.in_flight[target] < slots_per_target) {
-            ++u.in_flight[target];
-            ++u.by_host[j.host][target];
+        const auto target = pick(loads, policy, j.host);
+        if (loads.in_flight[target] < slots_per_target) {
+            ++loads.in_flight[target];
+            ++loads.by_host[j.host][target];
             o.waits.push_back(now.at - j.arrival);
             steps.push({now.at + j.service, step_kind::end, now.job_index, target});
             continue;
