--- a/source/control/quarantine.cpp
+++ b/source/control/quarantine.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 /// Hosts whose heartbeat was never received are notified too.
-bool is_told(const control_state& state, const host_id& id)
+bool should_notify(const control_state& state, const host_id& id)
 {
     const auto peer = state.membership.members.find(id);
     const bool is_dead = peer != state.membership.members.end() && !peer->second.alive;
@@ -41,7 +41,7 @@
         return;
     }
     for (const auto& [id, h] : state.fleet.configuration.hosts) {
-        if (is_told(state, id)) {
+        if (should_notify(state, id)) {
             out.emplace_back(share_evidence_effect{h.peers, evidence});
         }
     }
@@ -62,7 +62,7 @@
     for (const auto& [id, h] : text.hosts) {
         const bool is_near = region_of(text, h.domain) == home;
         const bool is_in_charge = state.inventory.own_rank == 0 || is_near;
-        if (!is_in_charge || !is_told(state, id)) {
+        if (!is_in_charge || !should_notify(state, id)) {
             continue;
         }
         for (const auto& t : s.targets) {
