--- a/source/control/membership.cpp
+++ b/source/control/membership.cpp
@@ -17,7 +17,7 @@
 /// In regions with more hosts only those of the same failure domain are near.
 constexpr std::size_t max_hosts_of_near_region = 6;
 /// Announcements go to all hosts in fleets up to this size, to the near hosts in larger ones.
-constexpr std::size_t max_hosts_told_at_once = 24;
+constexpr std::size_t max_hosts_announced_to = 24;
 constexpr std::size_t max_messages_per_tick = 3;
 /// Must exceed the size of the largest message, which could otherwise never be sent.
 constexpr double max_gossip_credit = 2.0 * max_datagram_bytes;
@@ -382,7 +382,7 @@
     auto message = make_message(state);
     message.recent_changes = state.inventory.news;
     const auto& configuration = state.fleet.configuration;
-    const bool to_all = configuration.hosts.size() <= max_hosts_told_at_once;
+    const bool to_all = configuration.hosts.size() <= max_hosts_announced_to;
     const auto home = region_of(configuration, state.self.domain);
     const auto domains = near_domains(state);
     for (const auto& [id, h] : configuration.hosts) {
