--- a/source/control/quarantine.cpp
+++ b/source/control/quarantine.cpp
@@ -21,7 +21,7 @@
 bool sends_evidence_to_followers(const control_state& state)
 {
     return state.self.has_inventory &&
-           state.fleet.configuration.hosts.size() > max_hosts_told_of_each_crash;
+           state.fleet.configuration.hosts.size() > max_hosts_sharing_evidence;
 }
 
 /// Whether this host receives the crash evidence of all hosts.
--- a/source/control/quarantine.h
+++ b/source/control/quarantine.h
@@ -24,7 +24,7 @@
 constexpr std::size_t max_suspects = 1'000;
 
 /// In larger fleets crash evidence is sent only to the followers of the store.
-constexpr std::size_t max_hosts_told_of_each_crash = 24;
+constexpr std::size_t max_hosts_sharing_evidence = 24;
 
 /// Records evidence observed by this host or by a peer, and forwards that of this host.
 void handle_crash_evidence(control_state& state, const event& e,
