--- a/source/control/membership.cpp
+++ b/source/control/membership.cpp
@@ -24,7 +24,7 @@
 constexpr std::chrono::seconds death_gossip_time{60};
 /// Deaths more recent than this take precedence over other heartbeats.
 constexpr std::chrono::seconds urgent_death_time{10};
-constexpr std::size_t hosts_told_of_death_elsewhere = 4;
+constexpr std::size_t hosts_notified_per_other_domain = 4;
 constexpr std::chrono::milliseconds no_request_interval{0};
 /// One message in three goes to another failure domain.
 constexpr std::uint64_t cross_domain_interval = 3;
@@ -287,7 +287,7 @@
     std::map<failure_domain_id, std::size_t> told;
     for (const auto& [other, h] : state.fleet.configuration.hosts) {
         const bool is_enough =
-            h.domain != state.self.domain && told[h.domain] >= hosts_told_of_death_elsewhere;
+            h.domain != state.self.domain && told[h.domain] >= hosts_notified_per_other_domain;
         if (other != state.self.host && other != id && !is_enough) {
             ++told[h.domain];
             out.emplace_back(send_gossip_effect{h.peers, message});
