--- a/source/control/target_health.cpp
+++ b/source/control/target_health.cpp
@@ -128,7 +128,7 @@
 {
     std::map<service_id, std::size_t> all;
     std::map<service_id, std::set<target_id>> dead;
-    std::set<target_id> believed;
+    std::set<target_id> excluded_targets;
     for (const auto& [id, t] : state.fleet.configuration.targets) {
         if (t.domain != state.self.domain && !state.self.has_inventory) {
             continue;
@@ -139,17 +139,17 @@
             continue;
         }
         if (!health->second.usable) {
-            (health->second.refuses ? believed : dead[t.serves]).insert(id);
+            (health->second.refuses ? excluded_targets : dead[t.serves]).insert(id);
         } else if (health->second.unreachable_until != monotonic_time{}) {
             dead[t.serves].insert(id);
         }
     }
     for (const auto& [id, targets] : dead) {
         if (2 * targets.size() <= all[id]) {
-            believed.insert(targets.begin(), targets.end());
+            excluded_targets.insert(targets.begin(), targets.end());
         }
     }
-    return believed;
+    return excluded_targets;
 }
 
 } // namespace almondquay
