--- a/source/control/inventory_sync.cpp
+++ b/source/control/inventory_sync.cpp
@@ -23,7 +23,7 @@
 /// Hosts silent for this long are deleted from the store by the first follower of a region.
 constexpr std::chrono::minutes long_dead{2};
 /// The revision of a list that never had an entry; 0 would mean that the list is not known.
-const store_revision known_empty{1};
+const store_revision empty_list_revision{1};
 /// Targets and hosts often change many at a time. A delay before the next query batches their
 /// changes in one answer; it is short compared to the seconds that a leaving target keeps serving.
 constexpr std::chrono::milliseconds target_batching_delay{800};
@@ -196,7 +196,7 @@
         list.changed = changed;
         record_list_replacement(state.inventory, question.kind, list.changed);
     }
-    list.changed = std::max(list.changed, known_empty);
+    list.changed = std::max(list.changed, empty_list_revision);
     announce(state, out); // Peers may lack the same changes without noticing.
     state.inventory.repeats_announcement = true;
 }
