--- a/source/control/peer_inventory.cpp
+++ b/source/control/peer_inventory.cpp
@@ -21,7 +21,7 @@
 /// The wall clock and the steady clock drift apart by less than this between two ticks.
 constexpr milliseconds tolerated_drift{500};
 /// Higher than any revision, so that the peer sends nothing of that list.
-const store_revision all_known{std::numeric_limits<std::uint64_t>::max()};
+const store_revision max_revision{std::numeric_limits<std::uint64_t>::max()};
 
 milliseconds time_left(monotonic_time until, monotonic_time now)
 {
@@ -192,7 +192,7 @@
 void ask_seeds_for_hosts(const control_state& state, effects& out)
 {
     inventory_revisions have;
-    have.fill(all_known);
+    have.fill(max_revision);
     have.at(static_cast<std::size_t>(inventory_kind::hosts)) = {};
     for (const auto& seed : state.self.seeds) {
         if (seed != state.self.registration.peers) {
@@ -305,7 +305,7 @@
 std::string encode_changes(const control_state& state, inventory_kind kind, store_revision since)
 {
     inventory_revisions have;
-    have.fill(all_known);
+    have.fill(max_revision);
     have.at(static_cast<std::size_t>(kind)) = since;
     const bool is_known = since.value != 0 && has_all_changes(state.inventory, kind, since);
     auto text = is_known ? encode(copy_of(state, have, state.now)) : std::string();
