--- a/source/control/peer_inventory.cpp
+++ b/source/control/peer_inventory.cpp
@@ -16,8 +16,8 @@
 
 /// Interval between queries to peers while a host starts.
 constexpr milliseconds startup_query_interval{400};
-constexpr std::array asked_of_peers{inventory_kind::targets, inventory_kind::evacuations,
-                                    inventory_kind::hosts};
+constexpr std::array lists_from_peers{inventory_kind::targets, inventory_kind::evacuations,
+                                      inventory_kind::hosts};
 /// The wall clock and the steady clock drift apart by less than this between two ticks.
 constexpr milliseconds tolerated_drift{500};
 /// Higher than any revision, so that the peer sends nothing of that list.
@@ -229,7 +229,7 @@
 /// Whether this host is currently reading the lists from the store.
 bool reads_lists(const control_state& state)
 {
-    return follows(state) && std::ranges::all_of(asked_of_peers, [&](const auto kind) {
+    return follows(state) && std::ranges::all_of(lists_from_peers, [&](const auto kind) {
                const auto& list = list_of(state.inventory, kind);
                return list.failures == 0 && (list.is_complete || list.call_running);
            });
@@ -363,7 +363,7 @@
 {
     auto& inventory = state.inventory;
     const bool lacks_lists = std::ranges::any_of(
-        asked_of_peers, [&](const auto kind) { return !list_of(inventory, kind).is_complete; });
+        lists_from_peers, [&](const auto kind) { return !list_of(inventory, kind).is_complete; });
     const bool lacks_something = lacks_lists || !state.fleet.envelope;
     if (state.stage != life_stage::starting || !lacks_something ||
         e.now < inventory.next_startup_query) {
