--- a/source/control/fleet_adoption.cpp
+++ b/source/control/fleet_adoption.cpp
@@ -44,10 +44,10 @@
 {
     const bool disagrees = envelope.number == state.fleet.envelope->number &&
                            fingerprint_of(envelope) != state.fleet.fingerprint;
-    if (!disagrees || state.fleet.disagreed == envelope.number) {
+    if (!disagrees || state.fleet.last_conflict == envelope.number) {
         return;
     }
-    state.fleet.disagreed = envelope.number;
+    state.fleet.last_conflict = envelope.number;
     decide(state, out, e.wall,
            {"fleet_conflict",
             "of two texts with the same generation the first one stays in force",
--- a/source/control/state.h
+++ b/source/control/state.h
@@ -94,8 +94,8 @@
     unsigned failures = 0;       ///< consecutive failures of platform calls
     monotonic_time next_fetch{}; ///< earliest next fetch from a peer
     monotonic_time next_watch{};
-    std::set<generation> refused;        ///< generations whose text could not be parsed
-    std::optional<generation> disagreed; ///< generation of the last recorded conflict
+    std::set<generation> refused;            ///< generations whose text could not be parsed
+    std::optional<generation> last_conflict; ///< generation of the last recorded conflict
 };
 
 /// Synchronisation state of one list of the inventory.
