--- a/unit_tests/control/unreachable_targets_test.cpp
+++ b/unit_tests/control/unreachable_targets_test.cpp
@@ -86,7 +86,7 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{0}, hosts_without(world, dead, "r0"));
     }
 
-    /// A host that cannot reach any target must not make the others exclude all of them.
+    /// A host that most targets refuse must not make the others exclude these targets.
     void reports_of_a_host_refused_by_most_targets_are_ignored()
     {
         auto world = make_world();
