--- a/benchmarks/fleet_change_benchmark.cpp
+++ b/benchmarks/fleet_change_benchmark.cpp
@@ -48,12 +48,12 @@
 registered_target make_target(std::size_t n)
 {
     registered_target t;
-    t.what.id.value = "i-" + std::to_string(100'000 + n);
-    t.what.serves.value = "s";
-    t.what.domain.value = domain_name(n);
-    t.what.address = {"10.9.0.1", static_cast<std::uint16_t>(9'000 + n)};
-    t.what.life.value = 1;
-    t.what.slots.value = 3;
+    t.definition.id.value = "i-" + std::to_string(100'000 + n);
+    t.definition.serves.value = "s";
+    t.definition.domain.value = domain_name(n);
+    t.definition.address = {"10.9.0.1", static_cast<std::uint16_t>(9'000 + n)};
+    t.definition.life.value = 1;
+    t.definition.slots.value = 3;
     return t;
 }
 
--- a/source/control/inventory_items.cpp
+++ b/source/control/inventory_items.cpp
@@ -100,12 +100,13 @@
                   effects& out)
 {
     auto& inventory = state.inventory;
-    const auto& id = entry.what.id;
+    const auto& id = entry.definition.id;
     inventory.missing.erase(id);
     const auto found = inventory.targets.find(id);
     const bool is_new = found == inventory.targets.end();
-    const bool is_restarted = !is_new && found->second.entry.what.life != entry.what.life;
-    const bool is_older = !is_new && entry.what.life < found->second.entry.what.life;
+    const bool is_restarted =
+        !is_new && found->second.entry.definition.life != entry.definition.life;
+    const bool is_older = !is_new && entry.definition.life < found->second.entry.definition.life;
     if (is_older) {
         return;
     }
@@ -114,7 +115,7 @@
     }
     auto& listed = inventory.targets[id];
     const bool turns_cold = entry.cold_left.count() != 0 && listed.cold_until <= e.now;
-    const bool is_changed = is_new || !(listed.entry.what == entry.what) || turns_cold;
+    const bool is_changed = is_new || !(listed.entry.definition == entry.definition) || turns_cold;
     const auto cold_until = e.now + entry.cold_left;
     state.snapshot_is_stale =
         state.snapshot_is_stale || is_changed || listed.cold_until != cold_until;
@@ -126,12 +127,12 @@
     decide(state, out, e.wall,
            {"target_listed",
             "targets are used as they register themselves in the store",
-            "Target " + id.value + " of " + entry.what.serves.value +
-                (entry.what.leaving ? " is leaving." : " is listed."),
+            "Target " + id.value + " of " + entry.definition.serves.value +
+                (entry.definition.leaving ? " is leaving." : " is listed."),
             {},
             {{"target", id.value},
-             {"life", std::to_string(entry.what.life.value)},
-             {"leaving", entry.what.leaving ? "yes" : "no"},
+             {"life", std::to_string(entry.definition.life.value)},
+             {"leaving", entry.definition.leaving ? "yes" : "no"},
              {"cold_ms", std::to_string(entry.cold_left.count())}}});
 }
 
@@ -146,8 +147,8 @@
     state.snapshot_is_stale = true;
     if (!begins) {
         for (auto& [id, listed] : state.inventory.targets) {
-            if (listed.entry.what.domain == domain) {
-                const auto cold = e.now + assumed_cold_time(state, listed.entry.what);
+            if (listed.entry.definition.domain == domain) {
+                const auto cold = e.now + assumed_cold_time(state, listed.entry.definition);
                 listed.cold_until = std::max(listed.cold_until, cold);
             }
         }
--- a/source/control/inventory_sync.cpp
+++ b/source/control/inventory_sync.cpp
@@ -350,8 +350,8 @@
     configuration.hosts[state.self.host] = state.self.registration;
     configuration.targets.clear();
     for (const auto& [id, listed] : state.inventory.targets) {
-        if (configuration.services.contains(listed.entry.what.serves)) {
-            configuration.targets.emplace(id, listed.entry.what);
+        if (configuration.services.contains(listed.entry.definition.serves)) {
+            configuration.targets.emplace(id, listed.entry.definition);
         }
     }
 }
--- a/source/control/peer_inventory.cpp
+++ b/source/control/peer_inventory.cpp
@@ -33,10 +33,10 @@
 {
     auto entry = listed.entry;
     entry.cold_left = time_left(listed.cold_until, now);
-    const auto missing = state.inventory.missing.find(entry.what.id);
+    const auto missing = state.inventory.missing.find(entry.definition.id);
     if (missing != state.inventory.missing.end()) {
         const auto left = std::max(time_left(missing->second, now), milliseconds{1});
-        copy.gone.push_back({inventory_kind::targets, entry.what.id.value, left});
+        copy.gone.push_back({inventory_kind::targets, entry.definition.id.value, left});
     }
     copy.targets.push_back(std::move(entry));
 }
@@ -118,7 +118,7 @@
     std::set<std::string> names;
     if (kind == inventory_kind::targets) {
         for (const auto& t : copy.targets) {
-            names.insert(t.what.id.value);
+            names.insert(t.definition.id.value);
         }
     } else if (kind == inventory_kind::hosts) {
         for (const auto& h : copy.hosts) {
--- a/source/control/target_health.cpp
+++ b/source/control/target_health.cpp
@@ -51,7 +51,8 @@
     // It may have restarted in the meantime, and a restarted target is cold.
     if (const auto listed = state.inventory.targets.find(id);
         listed != state.inventory.targets.end()) {
-        const auto s = state.fleet.configuration.services.find(listed->second.entry.what.serves);
+        const auto s =
+            state.fleet.configuration.services.find(listed->second.entry.definition.serves);
         if (s != state.fleet.configuration.services.end()) {
             listed->second.cold_until =
                 std::max(listed->second.cold_until, e.now + s->second.cold_time);
--- a/source/peer/inventory_copy.cpp
+++ b/source/peer/inventory_copy.cpp
@@ -32,24 +32,25 @@
 
 json encode_target(const registered_target& t, name_table& names)
 {
-    return json::array({t.what.id.value, names.index_of_name(t.what.serves.value),
-                        names.index_of_name(t.what.domain.value), t.what.address.address,
-                        t.what.address.port, t.what.slots.value, t.what.checks_identity,
-                        t.what.life.value, t.what.leaving, t.cold_left.count()});
+    return json::array({t.definition.id.value, names.index_of_name(t.definition.serves.value),
+                        names.index_of_name(t.definition.domain.value),
+                        t.definition.address.address, t.definition.address.port,
+                        t.definition.slots.value, t.definition.checks_identity,
+                        t.definition.life.value, t.definition.leaving, t.cold_left.count()});
 }
 
 registered_target decode_target(const json& row, const json& names)
 {
     registered_target t;
-    t.what.id.value = row.at(0).get<std::string>();
-    t.what.serves.value = name_at(names, row.at(1));
-    t.what.domain.value = name_at(names, row.at(2));
-    t.what.address.address = row.at(3).get<std::string>();
-    t.what.address.port = row.at(4).get<std::uint16_t>();
-    t.what.slots.value = row.at(5).get<std::uint32_t>();
-    t.what.checks_identity = row.at(6).get<bool>();
-    t.what.life.value = row.at(7).get<std::uint64_t>();
-    t.what.leaving = row.at(8).get<bool>();
+    t.definition.id.value = row.at(0).get<std::string>();
+    t.definition.serves.value = name_at(names, row.at(1));
+    t.definition.domain.value = name_at(names, row.at(2));
+    t.definition.address.address = row.at(3).get<std::string>();
+    t.definition.address.port = row.at(4).get<std::uint16_t>();
+    t.definition.slots.value = row.at(5).get<std::uint32_t>();
+    t.definition.checks_identity = row.at(6).get<bool>();
+    t.definition.life.value = row.at(7).get<std::uint64_t>();
+    t.definition.leaving = row.at(8).get<bool>();
     t.cold_left = std::chrono::milliseconds(row.at(9).get<std::int64_t>());
     return t;
 }
--- a/source/store/inventory.h
+++ b/source/store/inventory.h
@@ -32,7 +32,7 @@
 
 /// A target as it has registered itself.
 struct registered_target {
-    target what;
+    target definition;
     std::chrono::milliseconds cold_left{0}; ///< from the moment of its last registration
 
     bool operator==(const registered_target&) const = default;
--- a/unit_tests/control/inventory_test.cpp
+++ b/unit_tests/control/inventory_test.cpp
@@ -67,17 +67,17 @@
                             std::uint64_t life = 1)
 {
     registered_target t;
-    t.what.id.value = name;
-    t.what.serves.value = "s";
-    t.what.domain.value = domain;
-    t.what.address = {"127.1.1.1", 9000};
-    t.what.life.value = life;
+    t.definition.id.value = name;
+    t.definition.serves.value = "s";
+    t.definition.domain.value = domain;
+    t.definition.address = {"127.1.1.1", 9000};
+    t.definition.life.value = life;
     return t;
 }
 
 inventory_item item_of(const registered_target& t)
 {
-    return {t.what.id.value, t};
+    return {t.definition.id.value, t};
 }
 
 inventory_item configuration_of(std::uint64_t number)
@@ -569,7 +569,7 @@
         double all = 0;
         for (std::size_t n = 1; n <= hosts; ++n) {
             const auto state = serving_state({item_of(t)}, n);
-            all += cold_share(state, t.what);
+            all += cold_share(state, t.definition);
         }
         CPPUNIT_ASSERT(all > 0);
         CPPUNIT_ASSERT(all <= 3.5);
--- a/unit_tests/control/store_world.cpp
+++ b/unit_tests/control/store_world.cpp
@@ -337,11 +337,11 @@
 store_revision store_world::put_target(const std::string& name, std::uint64_t life)
 {
     registered_target t;
-    t.what.id.value = name;
-    t.what.serves.value = "s";
-    t.what.domain.value = "r0-0";
-    t.what.address = {"10.9.0.1", 9000};
-    t.what.life.value = life;
+    t.definition.id.value = name;
+    t.definition.serves.value = "s";
+    t.definition.domain.value = "r0-0";
+    t.definition.address = {"10.9.0.1", 9000};
+    t.definition.life.value = life;
     return note(inventory_kind::targets, name, inventory_item{name, t});
 }
 
--- a/unit_tests/platform/registry_test.cpp
+++ b/unit_tests/platform/registry_test.cpp
@@ -68,11 +68,11 @@
     {
         const auto item = decode_item(inventory_kind::targets, valid_target_entry());
         const auto& t = std::get<registered_target>(item.entry);
-        CPPUNIT_ASSERT_EQUAL(std::string("i-1"), t.what.id.value);
-        CPPUNIT_ASSERT_EQUAL(std::string("10.0.0.1:80"), to_string(t.what.address));
+        CPPUNIT_ASSERT_EQUAL(std::string("i-1"), t.definition.id.value);
+        CPPUNIT_ASSERT_EQUAL(std::string("10.0.0.1:80"), to_string(t.definition.address));
         CPPUNIT_ASSERT_EQUAL(std::int64_t{1'500}, static_cast<std::int64_t>(t.cold_left.count()));
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{1784553713030}, t.what.life.value);
-        CPPUNIT_ASSERT(!t.what.leaving && t.what.checks_identity);
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{1784553713030}, t.definition.life.value);
+        CPPUNIT_ASSERT(!t.definition.leaving && t.definition.checks_identity);
     }
 
     void malformed_target_entries_are_unreadable()
