--- a/source/config/process_settings.h
+++ b/source/config/process_settings.h
@@ -46,8 +46,8 @@
     store_kind store = store_kind::own;
     std::chrono::milliseconds platform_timeout{2'000};
     std::vector<endpoint> seeds; ///< peers to contact before a fleet configuration is known
-    std::chrono::milliseconds max_propagation_delay{
-        2'000}; ///< time for a change to reach all hosts
+    /// Time within which a change must be active on all hosts.
+    std::chrono::milliseconds max_propagation_delay{2'000};
     shared_secret secret;
     std::uint32_t traffic_threads = 2;
     std::uint32_t max_connections = 4'000;   ///< caller connections per traffic thread
