--- a/source/control/fleet_adoption.cpp
+++ b/source/control/fleet_adoption.cpp
@@ -95,7 +95,8 @@
           {"source", source},
           {"changed_by", envelope.changed_by},
           {"change", change_id(envelope)}}});
-    apply_inventory_to_fleet(state); // The text alone does not list the hosts to announce it to.
+    // The text alone does not list the hosts that the announcement is sent to.
+    apply_inventory_to_fleet(state);
     const bool is_relayed = state.self.has_inventory && source != from_store;
     if (!is_relayed) {
         announce(state, out);
--- a/source/control/fleet_adoption.h
+++ b/source/control/fleet_adoption.h
@@ -4,10 +4,10 @@
 #include "control/event.h"
 #include "control/state.h"
 
-/// Selects the configuration in force; it is only ever replaced by one with a higher generation.
+/// Selects the configuration in force. Only one with a higher generation replaces it.
 namespace almondquay {
 
-/// Long-poll timeout of a watch on the platform.
+/// Long-poll timeout of a watch on the platform, the store that holds the fleet object.
 constexpr std::chrono::milliseconds watch_wait{20'000};
 /// Number of hosts per failure domain that watch the platform; the others learn of changes by
 /// gossip.
--- a/source/control/inventory_changes.h
+++ b/source/control/inventory_changes.h
@@ -16,8 +16,8 @@
 void record_change(inventory_state& inventory, inventory_kind kind, store_revision at,
                    std::string name);
 
-/// Records that a list was replaced as a whole at revision `at`: the single changes up to it are
-/// not known.
+/// Records that a list was replaced as a whole at revision `at`, so that the individual changes up
+/// to it are not known.
 void record_list_replacement(inventory_state& inventory, inventory_kind kind, store_revision at);
 
 /// Whether the log holds all changes of the list after `since`.
--- a/source/control/inventory_sync.cpp
+++ b/source/control/inventory_sync.cpp
@@ -56,7 +56,7 @@
 {
     if (list_of(state.inventory, kind).failures != 0) {
         return std::chrono::milliseconds{
-            0}; // Detects the return of the store as early as possible.
+            0}; // Detects as early as possible that the store answers again.
     }
     if (state.inventory.own_rank >= followers_per_region) {
         return std::chrono::milliseconds{
@@ -136,7 +136,7 @@
 }
 
 /// The revision of the latest change on a page. The store's own revision grows with changes of all
-/// lists, so peers that have read the same changes would take it for a newer list.
+/// lists, so peers that have read the same changes would mistake it for that of a newer list.
 store_revision latest_change(const inventory_page& page)
 {
     store_revision latest;
@@ -197,7 +197,7 @@
         record_list_replacement(state.inventory, question.kind, list.changed);
     }
     list.changed = std::max(list.changed, empty_list_revision);
-    announce(state, out); // Peers may lack the same changes without noticing.
+    announce(state, out); // Peers may have missed the same changes without noticing.
     state.inventory.repeats_announcement = true;
 }
 
--- a/source/control/inventory_sync.h
+++ b/source/control/inventory_sync.h
@@ -13,12 +13,12 @@
 namespace almondquay {
 
 /// Long-poll timeouts of queries for changes. A lost long poll is noticed only by a new query, so
-/// the polls of all followers together are spaced by `follow_interval`, and the followers tell each
-/// other of the changes that one of them missed.
+/// the polls of all followers together are spaced by `follow_interval`, and the followers announce
+/// to each other the changes that one of them may have missed.
 constexpr std::chrono::milliseconds shortest_follow_wait{1'000};
 constexpr std::chrono::milliseconds longest_follow_wait{25'000};
 /// A query that was lost in an outage of the store must time out soon after the outage, since
-/// changes of targets and configuration must then take effect within the usual two seconds again.
+/// changes of targets and configuration must then take effect within two seconds again.
 constexpr std::chrono::milliseconds longest_urgent_wait{3'500};
 constexpr std::chrono::milliseconds longest_evacuation_wait{5'000};
 constexpr std::chrono::milliseconds follow_interval{750};
--- a/source/control/membership.cpp
+++ b/source/control/membership.cpp
@@ -177,7 +177,8 @@
     }
 }
 
-/// Claims depend on the set of live hosts, so without shared targets a change takes effect at once.
+/// Without an inventory, claims depend on the set of live hosts, so a change takes effect at once;
+/// with one, it takes effect at the next tick.
 void mark_hosts_changed(control_state& state)
 {
     (state.self.has_inventory ? state.hosts_changed : state.snapshot_is_stale) = true;
@@ -272,12 +273,13 @@
     membership.last_tick = now;
 }
 
-/// Declares a neighbour dead after an unrefuted suspicion. Tells the failure domain and a few hosts
-/// of each other domain, where gossip spreads it further.
+/// Declares a neighbour dead after an unrefuted suspicion. Notifies the failure domain and a few
+/// hosts of each other domain, where gossip propagates the death further.
 void confirm_suspicion(control_state& state, const event& e, const host_id& id, effects& out)
 {
     auto& m = state.membership.members.at(id);
-    // Others may know later heartbeats than this host; this is the most it can have sent since.
+    // Other hosts may know later heartbeats. Adds the most that the host can have sent since, so
+    // that the reported death is not older than any of them.
     m.beat += static_cast<std::uint64_t>((e.now - m.last_advance) / tick_interval);
     state.membership.probed.erase(id);
     declare_dead(state, e, id, m, out);
@@ -317,8 +319,8 @@
     message.inventory = revisions_of(state.inventory);
     message.confirmed = confirmation_ages(state, state.now);
     // With an inventory, callers are sent to hosts as soon as these are alive, so a host that does
-    // not serve yet must say so. Without one, a host counts from its first heartbeat, since claims
-    // depend on the set of live hosts.
+    // not serve yet announces that. Without one, a host counts as live from its first heartbeat,
+    // since claims depend on the set of live hosts.
     const bool is_early = state.self.has_inventory && state.stage == life_stage::starting;
     const bool leaving = state.stage == life_stage::leaving || state.stage == life_stage::ending;
     message.heartbeats.push_back(
--- a/source/control/peer_inventory.h
+++ b/source/control/peer_inventory.h
@@ -18,8 +18,8 @@
 /// The time since each list was last confirmed; `never_confirmed` if it never was.
 inventory_ages confirmation_ages(const control_state& state, monotonic_time now);
 
-/// The part of the inventory that a peer at revisions `have` lacks: single changes where they are
-/// known, otherwise whole lists.
+/// The part of the inventory that a peer at revisions `have` lacks: individual changes where they
+/// are known, otherwise whole lists.
 inventory_copy copy_of(const control_state& state, const inventory_revisions& have,
                        monotonic_time now);
 
@@ -41,8 +41,8 @@
 void compare_peer_revisions(control_state& state, const event& e, const gossip_message& message,
                             const endpoint& peer, effects& out);
 
-/// Requests the list of hosts from the seeds and then what is still missing from random hosts,
-/// mostly of the same region.
+/// Requests the list of hosts from the seeds, then the other missing lists and the configuration
+/// from random hosts, mostly of the same region.
 void query_peers_while_starting(control_state& state, const event& e, effects& out);
 
 /// Invalidates all confirmations after a suspension. Their ages are measured with the steady clock,
--- a/source/control/probing.cpp
+++ b/source/control/probing.cpp
@@ -12,7 +12,8 @@
 
 std::uint64_t ring_place(const host_id& id)
 {
-    constexpr std::uint64_t seed = 0x52494e47; // Gives an order unlike that of other rankings.
+    // Makes this order differ from other rankings of hosts by hash.
+    constexpr std::uint64_t seed = 0x52494e47;
     return XXH3_64bits_withSeed(id.value.data(), id.value.size(), seed);
 }
 
--- a/source/control/probing.h
+++ b/source/control/probing.h
@@ -21,7 +21,7 @@
 constexpr std::chrono::milliseconds next_neighbour_delay{700};
 /// A neighbour that has not answered pings for this long is suspected.
 constexpr std::chrono::milliseconds suspicion_threshold{1'000};
-/// A suspicion that is not refuted within this time ends in the host's death.
+/// A suspected host is declared dead if the suspicion is not refuted within this time.
 constexpr std::chrono::milliseconds suspicion_timeout{1'200};
 constexpr std::size_t max_neighbours_pinged = 4;
 /// Number of hosts per round of indirect pings. Rounds are repeated while a suspicion stands, since
--- a/source/control/quarantine.cpp
+++ b/source/control/quarantine.cpp
@@ -49,8 +49,8 @@
 
 /// Sends the evidence against a request that this host has quarantined to hosts that do not receive
 /// crash evidence themselves. The first follower of each region sends to all hosts and the second
-/// one to those of its own region, so that every host is told several times and the loss of one
-/// follower leaves none out.
+/// one to those of its own region, so that every host is notified several times and none is
+/// missed if one follower is lost.
 void share_quarantine_evidence(const control_state& state, request_fingerprint fingerprint,
                                const suspect& s, effects& out)
 {
--- a/source/control/quarantine.h
+++ b/source/control/quarantine.h
@@ -9,7 +9,7 @@
 ///
 /// In small fleets every host receives the evidence of every crash and identifies such requests by
 /// itself. In large fleets, where the loss of many targets would flood all hosts, only the
-/// followers of the store receive it; they tell all hosts which requests they identified.
+/// followers of the store receive it; they notify all hosts of the requests that they identified.
 namespace almondquay {
 
 /// A request that was in flight at the crashes of this many different targets is quarantined,
--- a/source/control/reducer.cpp
+++ b/source/control/reducer.cpp
@@ -118,7 +118,8 @@
             [&](const claim_event& body) { handle_claim_event(state, e, body, out); },
         },
         e.body);
-    // In a large fleet many hosts change per second, and every snapshot is built from scratch.
+    // Changes of hosts are batched until the next tick: in a large fleet many hosts change per
+    // second, and every snapshot is built from scratch.
     const bool is_tick = std::holds_alternative<tick_event>(e.body);
     if (state.snapshot_is_stale || (state.hosts_changed && is_tick)) {
         state.snapshot_is_stale = false;
--- a/source/control/state.h
+++ b/source/control/state.h
@@ -32,7 +32,7 @@
     std::vector<endpoint> seeds;
     almondquay::host registration{}; ///< this host's entry in the store
     std::map<failure_domain_id, region_id>
-        domains{};              ///< region of each failure domain, if the text has none
+        domains{};              ///< region of each domain, unless the text defines them
     bool has_inventory = false; ///< the store lists targets and hosts
     decltype(store_protocol::parse_fleet) parse = nullptr; ///< parses the configuration's text
     shared_budgets budgets{};
@@ -43,13 +43,14 @@
 
 struct member {
     incarnation life;
-    std::uint64_t beat = 0;
+    std::uint64_t beat = 0; ///< heartbeat counter; starts again with each incarnation
     bool leaving = false;
     bool starting = false; ///< does not serve yet
     bool alive = false;
-    bool is_death_confirmed = false; ///< by a host of its domain, which gets its beats directly
-    monotonic_time died{};           ///< when this host declared it dead
-    monotonic_time last_advance{};   ///< when (life, beat) last increased on this host
+    /// Declared dead by a host of its domain, which receives its heartbeats directly.
+    bool is_death_confirmed = false;
+    monotonic_time died{};         ///< when this host declared it dead
+    monotonic_time last_advance{}; ///< when (life, beat) last increased on this host
 };
 
 /// A ring neighbour that this host pings.
@@ -60,7 +61,7 @@
     monotonic_time last_indirect_ping{}; ///< time of the last round of indirect pings
 };
 
-/// A suspected host that this host pings on behalf of a peer, which is told of an answer.
+/// A suspected host that this host pings on behalf of a peer, which is notified of a reply.
 struct indirect_ping {
     endpoint asker;
     monotonic_time until{};
@@ -100,15 +101,15 @@
 
 /// Synchronisation state of one list of the inventory.
 struct inventory_list {
-    store_revision at;
-    store_revision changed;      ///< of the last answer that contained changes
+    store_revision at;           ///< changes up to this revision have been read
+    store_revision changed;      ///< of the latest change in the list
     monotonic_time confirmed{};  ///< when the current list was last known to be complete
     monotonic_time queried_at{}; ///< when changes or the first page of the list were queried
     store_revision read_at;      ///< of the first page of the list being read
     store_revision read_changed; ///< of the latest change on the pages read so far
     bool is_complete = false;    ///< has been read completely, by this host or a peer
     bool had_changes = false;    ///< the last answer contained changes
-    bool is_following = false;
+    bool is_following = false;   ///< polls for changes instead of reading the whole list
     bool call_running = false;
     std::uint64_t call = 0; ///< number of the latest query
     unsigned failures = 0;  ///< consecutive
@@ -120,7 +121,7 @@
 
 struct listed_target {
     registered_target entry;
-    monotonic_time cold_until{};
+    monotonic_time cold_until{}; ///< until then it is sent requests at a limited rate
 };
 
 /// The name of a changed entry; the change itself is the current state of that entry.
--- a/source/control/store_followers.h
+++ b/source/control/store_followers.h
@@ -8,8 +8,8 @@
 /// every failure domain before any second one. The first `followers_per_region` follow the store
 /// and propagate changes to the others. For each list every host knows the time of its last
 /// confirmation: the latest time at which a follower learned from the store that the list in its
-/// current state was complete. When confirmations cease, because the followers died or lost the
-/// store, the hosts next in rank take over one after the other.
+/// current state was complete. When confirmations cease, because the followers died or can no
+/// longer reach the store, the hosts next in rank take over one after the other.
 namespace almondquay {
 
 constexpr std::size_t followers_per_region = 2;
@@ -17,7 +17,7 @@
 /// this many in the same region, and up to this many in total.
 constexpr std::size_t standbys_per_region = 4;
 constexpr std::size_t max_standbys_notified = 8;
-/// The first standby queries the store this long before a change would have to be in force.
+/// The first standby queries the store this long before a change must have taken effect.
 constexpr std::chrono::milliseconds takeover_margin{600};
 constexpr std::chrono::milliseconds evacuation_takeover_age{3'500};
 constexpr std::chrono::milliseconds host_takeover_age{30'000};
