--- a/source/control/inventory_sync.cpp
+++ b/source/control/inventory_sync.cpp
@@ -216,9 +216,9 @@
         record_change(state.inventory, question.kind, list.changed, item.name);
     }
     if (has_changes) {
-        state.inventory.news = question.kind == inventory_kind::configuration
-                                   ? std::string()
-                                   : encode_changes(state, question.kind, before);
+        state.inventory.encoded_changes = question.kind == inventory_kind::configuration
+                                              ? std::string()
+                                              : encode_changes(state, question.kind, before);
         announce(state, out);
         state.inventory.repeats_announcement = true;
     } else if (question.kind == inventory_kind::configuration ||
@@ -282,7 +282,7 @@
     state.inventory.own_rank = rank_in_region(state, e.now);
     if (std::exchange(state.inventory.repeats_announcement, false)) {
         announce(state, out);
-        state.inventory.news.clear();
+        state.inventory.encoded_changes.clear();
     }
     for (std::size_t i = 0; i < inventory_kinds; ++i) {
         const auto& list = state.inventory.lists.at(i);
--- a/source/control/membership.cpp
+++ b/source/control/membership.cpp
@@ -382,7 +382,7 @@
 void announce(control_state& state, effects& out)
 {
     auto message = make_message(state);
-    message.recent_changes = state.inventory.news;
+    message.recent_changes = state.inventory.encoded_changes;
     const auto& configuration = state.fleet.configuration;
     const bool to_all = configuration.hosts.size() <= max_hosts_announced_to;
     const auto home = region_of(configuration, state.self.domain);
--- a/source/control/state.h
+++ b/source/control/state.h
@@ -147,7 +147,7 @@
     monotonic_time next_peer_query{};
     monotonic_time next_startup_query{};
     bool repeats_announcement = false; ///< once, at the next tick, since datagrams get lost
-    std::string news;                  ///< the latest changes, encoded for announcements
+    std::string encoded_changes;       ///< the latest changes, encoded for announcements
     std::size_t own_rank = 0;          ///< in its region, as of the latest tick
     bool is_registered = false;
     bool registration_running = false;
