--- a/source/control/probing.cpp
+++ b/source/control/probing.cpp
@@ -82,16 +82,16 @@
 }
 
 void handle_indirect_ping_request(control_state& state, const event& e,
-                                  const member_heartbeat& suspected, const endpoint& asker,
+                                  const member_heartbeat& suspected, const endpoint& requester,
                                   effects& out)
 {
     if (suspected.id == state.self.host) {
-        out.emplace_back(send_gossip_effect{asker, make_message(state)});
+        out.emplace_back(send_gossip_effect{requester, make_message(state)});
         return;
     }
     const auto found = state.fleet.configuration.hosts.find(suspected.id);
     if (found != state.fleet.configuration.hosts.end()) {
-        state.membership.indirect_pings[suspected.id] = {asker, e.now + suspicion_timeout};
+        state.membership.indirect_pings[suspected.id] = {requester, e.now + suspicion_timeout};
         send_ping(state, found->second, out);
     }
 }
@@ -178,7 +178,7 @@
         auto told = make_message(state);
         told.heartbeats.push_back(message.heartbeats.front());
         told.heartbeats.back().direct = true;
-        out.emplace_back(send_gossip_effect{about->second.asker, std::move(told)});
+        out.emplace_back(send_gossip_effect{about->second.requester, std::move(told)});
         membership.indirect_pings.erase(about);
     }
 }
--- a/source/control/state.h
+++ b/source/control/state.h
@@ -63,7 +63,7 @@
 
 /// A suspected host that this host pings on behalf of a peer, which is notified of a reply.
 struct indirect_ping {
-    endpoint asker;
+    endpoint requester;
     monotonic_time until{};
 };
 
