--- a/source/control/probing.cpp
+++ b/source/control/probing.cpp
@@ -17,7 +17,7 @@
     return XXH3_64bits_withSeed(id.value.data(), id.value.size(), seed);
 }
 
-bool is_taken_for_dead(const control_state& state, const host_id& id)
+bool is_declared_dead(const control_state& state, const host_id& id)
 {
     const auto found = state.membership.members.find(id);
     return found != state.membership.members.end() && !found->second.alive;
@@ -30,7 +30,7 @@
     const auto own = ring_place(state.self.host);
     std::vector<const host*> ring;
     for (const auto* h : hosts_of(state.fleet.configuration, state.self.domain)) {
-        if (h->id != state.self.host && !is_taken_for_dead(state, h->id)) {
+        if (h->id != state.self.host && !is_declared_dead(state, h->id)) {
             ring.push_back(h);
         }
     }
