--- a/source/control/inventory_sync.cpp
+++ b/source/control/inventory_sync.cpp
@@ -75,7 +75,7 @@
                : whole;
 }
 
-void ask(control_state& state, inventory_kind kind, effects& out)
+void query_list(control_state& state, inventory_kind kind, effects& out)
 {
     auto& list = list_of(state.inventory, kind);
     list.call_running = true;
@@ -291,7 +291,7 @@
         const auto kind = static_cast<inventory_kind>(i);
         const bool is_due = (!list.call_running || is_late) && e.now >= list.next_call;
         if (is_due && may_query_store(state, kind, e.now)) {
-            ask(state, kind, out);
+            query_list(state, kind, out);
         }
     }
     register_if_due(state, e, out);
@@ -318,7 +318,7 @@
     state.fleet.platform_answered = true;
     const bool is_due = !list.call_running && e.now >= list.next_call;
     if (is_due && may_query_store(state, read.question.kind, e.now)) {
-        ask(state, read.question.kind, out);
+        query_list(state, read.question.kind, out);
     }
     start_serving_if_ready(state, e, out);
 }
