--- a/source/control/peer_inventory.cpp
+++ b/source/control/peer_inventory.cpp
@@ -175,7 +175,7 @@
     return theirs.value != 0 && (!list.is_complete || theirs > list.at);
 }
 
-void ask_for_copy(control_state& state, const event& e, const endpoint& peer, effects& out)
+void request_copy(control_state& state, const event& e, const endpoint& peer, effects& out)
 {
     if (e.now < state.inventory.next_peer_query) {
         return;
@@ -355,7 +355,7 @@
         wants_copy = wants_copy || (!is_configuration && behind && !can_read);
     }
     if (wants_copy) {
-        ask_for_copy(state, e, peer, out);
+        request_copy(state, e, peer, out);
     }
 }
 
@@ -379,7 +379,7 @@
         return;
     }
     if (lacks_lists && !reads_lists(state)) {
-        ask_for_copy(state, e, *peer, out);
+        request_copy(state, e, *peer, out);
     }
     if (!state.fleet.envelope) {
         out.emplace_back(fetch_fleet_effect{*peer});
