--- a/source/control/peer_inventory.cpp
+++ b/source/control/peer_inventory.cpp
@@ -189,7 +189,7 @@
     out.emplace_back(fetch_inventory_effect{peer, have});
 }
 
-void ask_seeds_for_hosts(const control_state& state, effects& out)
+void request_hosts_from_seeds(const control_state& state, effects& out)
 {
     inventory_revisions have;
     have.fill(max_revision);
@@ -371,7 +371,7 @@
     }
     inventory.next_startup_query = e.now + startup_query_interval;
     if (!list_of(inventory, inventory_kind::hosts).is_complete) {
-        ask_seeds_for_hosts(state, out);
+        request_hosts_from_seeds(state, out);
         return;
     }
     const auto* peer = random_peer(state);
