--- a/source/control/inventory_sync.cpp
+++ b/source/control/inventory_sync.cpp
@@ -141,9 +141,9 @@
 {
     store_revision latest;
     for (const auto& item : page.items) {
-        const bool is_told =
+        const bool has_revision =
             item.revision.value != 0 && !std::holds_alternative<deleted_entry>(item.entry);
-        latest = std::max(latest, is_told ? item.revision : page.at);
+        latest = std::max(latest, has_revision ? item.revision : page.at);
     }
     return latest;
 }
