--- a/source/control/fleet_adoption.cpp
+++ b/source/control/fleet_adoption.cpp
@@ -142,9 +142,10 @@
 
 void start_serving_if_ready(control_state& state, const event& e, effects& out)
 {
-    const bool is_told =
+    const bool has_initial_state =
         state.self.has_inventory ? is_inventory_known(state) : state.fleet.platform_answered;
-    const bool is_ready = state.stage == life_stage::starting && state.fleet.envelope && is_told;
+    const bool is_ready =
+        state.stage == life_stage::starting && state.fleet.envelope && has_initial_state;
     if (!is_ready) {
         return;
     }
