--- a/source/control/membership.cpp
+++ b/source/control/membership.cpp
@@ -389,10 +389,10 @@
     const auto domains = near_domains(state);
     for (const auto& [id, h] : configuration.hosts) {
         // The hosts of a region depend on its store followers for changes.
-        const bool is_told =
+        const bool is_notified =
             to_all || domains.contains(h.domain) ||
             (state.self.has_inventory && region_of(configuration, h.domain) == home);
-        if (id != state.self.host && is_told) {
+        if (id != state.self.host && is_notified) {
             out.emplace_back(send_gossip_effect{h.peers, message});
         }
     }
