--- a/source/control/peer_inventory.cpp
+++ b/source/control/peer_inventory.cpp
@@ -340,10 +340,10 @@
             !state.fleet.envelope || message.in_force > state.fleet.envelope->number;
         const bool behind =
             is_configuration ? lacks_text : is_behind(list, message.inventory.at(i));
-        const bool is_told =
+        const bool is_confirmed =
             message.confirmed.at(i) < never_confirmed &&
             (is_configuration ? message.in_force.value != 0 : message.inventory.at(i).value != 0);
-        if (!behind && is_told) {
+        if (!behind && is_confirmed) {
             list.confirmed = std::max(list.confirmed, e.now - message.confirmed.at(i));
         }
         if (is_behind(list, message.inventory.at(i)) && list.behind_since == monotonic_time{}) {
