--- a/source/control/inventory_sync.h
+++ b/source/control/inventory_sync.h
@@ -27,8 +27,8 @@
 /// Targets whose entries expired during an outage are expected to register again within this time
 /// after its end.
 constexpr std::chrono::milliseconds reregistration_time{2'000};
-/// Number of hosts that may use a cold target. The rate that the target can take is divided between
-/// them; with few hosts each share still amounts to whole requests.
+/// Number of hosts that may use a cold target. The rate that the target can take is divided among
+/// them; they are few, so that each share is large enough for whole requests.
 constexpr std::size_t hosts_for_cold_target = 2;
 
 /// Issues the queries that are due: lists and changes from the store, copies from peers, and the
