--- a/source/config/fleet.h
+++ b/source/config/fleet.h
@@ -94,7 +94,7 @@
     endpoint address;
     slot_count slots{3};
     std::uint32_t connections = 400;
-    bool sheds_unrun = false;     ///< declared by the operator: a 503 means that it was not run
+    bool sheds_unrun = false;     ///< declared by the operator: a 503 means the request was not run
     bool checks_identity = false; ///< refuses requests that name a different target
     incarnation life;             ///< of a target that registers itself; 0 if statically configured
     bool leaving = false;         ///< draining; receives no new requests
--- a/source/config/fleet_envelope.h
+++ b/source/config/fleet_envelope.h
@@ -13,7 +13,7 @@
 
 enum class drain_kind { target, host, failure_domain, region };
 
-/// An operator's order that a target, host, failure domain or region gets no new work.
+/// An operator's request that a target, host, failure domain or region receives no new requests.
 struct drain_mark {
     drain_kind kind = drain_kind::target;
     std::string name;
@@ -44,7 +44,7 @@
 /// Errors: peer_message_malformed.
 result<fleet_envelope> decode_fleet_envelope(std::string_view text);
 
-/// A 64-bit hash of the whole envelope, by which hosts detect diverging configurations.
+/// A 64-bit hash of the whole envelope, compared by hosts to detect diverging configurations.
 std::uint64_t fingerprint_of(const fleet_envelope& envelope);
 
 /// "target", "host", "failure_domain" or "region". Errors: bad_value.
--- a/source/config/ini_document.cpp
+++ b/source/config/ini_document.cpp
@@ -58,7 +58,7 @@
     feed.rest.remove_prefix(std::min(end + 1, feed.rest.size()));
     ++feed.line;
     const auto start = std::min(text.find_first_not_of(blanks), text.size());
-    text.remove_prefix(start); // The library would take an indented line for a continuation.
+    text.remove_prefix(start); // The library treats an indented line as a continuation.
     if (text.size() + 2 > static_cast<std::size_t>(size) ||
         text.find('\0') != std::string_view::npos) {
         add_finding(*feed.document, result_code::line_too_long, feed.line,
--- a/source/config/process_settings.cpp
+++ b/source/config/process_settings.cpp
@@ -32,7 +32,8 @@
     }
 }
 
-/// The port of "IP:PORT"; deployment templates render complete addresses.
+/// Reads the port of "IP:PORT" and ignores the address; deployment templates render complete
+/// addresses.
 void read_port(section_reader& reader, std::string_view key, std::uint16_t& port)
 {
     endpoint whole{"", port};
--- a/source/config/process_settings.h
+++ b/source/config/process_settings.h
@@ -41,7 +41,7 @@
     endpoint lookups;   ///< separate listener for look-ups; no port: the callers' listener
     double weight = 1;  ///< this host's relative share of work that is divided among hosts
     endpoint readiness; ///< separate listener for readiness checks; no port: none
-    std::map<failure_domain_id, region_id> domains; ///< regions, if the fleet text has none
+    std::map<failure_domain_id, region_id> domains; ///< used if the fleet text has none
     endpoint platform;                              ///< the platform's object API
     store_kind store = store_kind::own;
     std::chrono::milliseconds platform_timeout{2'000};
