--- a/source/common/result_code.h
+++ b/source/common/result_code.h
@@ -8,7 +8,8 @@
 namespace almondquay {
 
 /// One number for each way an operation can end. The thousands digit is the area:
-/// 1 configuration and settings, 2 platform, 3 caller requests, 4 claims, 5 peers, 6 command line.
+/// 1 configuration and settings, 2 platform, 3 caller requests, 4 idempotency keys and the claims
+/// on them, 5 peers, 6 command line.
 /// docs/RESULT_CODES.md lists them; a unit test checks that the page matches this list.
 enum class result_code : std::uint16_t {
     ok = 0,
