--- a/source/trace/log_line.h
+++ b/source/trace/log_line.h
@@ -11,7 +11,7 @@
 /// Parser for log lines as written by logging/log.h.
 namespace almondquay {
 
-using log_time = std::chrono::microseconds; ///< since the epoch, by the host's clock
+using log_time = std::chrono::microseconds; ///< since the epoch, from the clock of the logging host
 
 struct log_line {
     std::string time_text; ///< as written in the line
--- a/source/trace/logged_host_state.h
+++ b/source/trace/logged_host_state.h
@@ -15,12 +15,12 @@
     std::string stage = "not seen"; ///< not seen, starting, serving, leaving, stopped
     std::string since;              ///< time of the host's latest start
     std::string generation;         ///< summary of the decision that activated it
-    std::string store = "unknown";  ///< answers, away or unknown
+    std::string store = "unknown";  ///< answers, away (unreachable) or unknown
     std::string store_since;
-    std::map<std::string, std::string> targets_out; ///< target and the decision to exclude it
-    std::map<std::string, std::string> evacuated;   ///< failure domain and the decision
-    std::map<std::string, std::string> dead_hosts;  ///< host and the decision
-    std::map<std::string, std::string> quarantined; ///< request fingerprint and the decision
+    std::map<std::string, std::string> targets_out; ///< excluded target to the decision
+    std::map<std::string, std::string> evacuated;   ///< failure domain to the decision
+    std::map<std::string, std::string> dead_hosts;  ///< host to the decision
+    std::map<std::string, std::string> quarantined; ///< request fingerprint to the decision
     std::size_t targets_listed = 0;
     std::uint64_t lines = 0;      ///< log lines of the host up to that time
     bool clock_went_back = false; ///< the host's clock was set back, so the time is ambiguous
--- a/source/trace/request_cause.cpp
+++ b/source/trace/request_cause.cpp
@@ -226,8 +226,8 @@
     cause.outcome = text_of(field_of(last, "outcome"));
     if (end == nullptr) {
         cause.result.clear();
-        cause.text = "The logs do not show how the request ended; its last line is of " +
-                     last.time_text + " at host " + last.process + ".";
+        cause.text = "The logs do not show how the request ended; its last line was logged at " +
+                     last.time_text + " by host " + last.process + ".";
         return cause;
     }
     const auto code = code_named(cause.result);
--- a/source/trace/request_trace.h
+++ b/source/trace/request_trace.h
@@ -26,7 +26,8 @@
 constexpr std::chrono::seconds context_before{30};
 /// Decisions up to this long after its last line, since the effects of a crash are logged later.
 constexpr std::chrono::seconds context_after{10};
-/// Limit of the request's lines and of its context lines; more would be of no use to a reader.
+/// Maximum number of lines of the request and, separately, of context lines; keeps the output
+/// readable.
 constexpr std::size_t max_trace_lines = 500;
 
 /// Reads the logs twice: first for the request, then for its context. Errors: text_unreadable.
