--- a/source/almondquayd/daemon.cpp
+++ b/source/almondquayd/daemon.cpp
@@ -67,7 +67,7 @@
 }
 
 /// Applies the settings that may change at runtime: seeds and the log level. Other changes need a
-/// restart; a file with findings is logged and changes nothing.
+/// restart. If the file is invalid, its first error is logged and the settings stay as they are.
 void reload_settings(daemon_parts& d, const std::string& why)
 {
     const auto text = read_file(d.settings.file);
