--- a/source/almondquay/command_line.cpp
+++ b/source/almondquay/command_line.cpp
@@ -21,8 +21,8 @@
 
 constexpr auto commands = std::to_array<command_spec>({
     {"check", command_name::check, 1,
-     "check FILE                  report all findings in a fleet text"},
-    {"apply", command_name::apply, 1, "apply FILE --read-at N      put a fleet text in force"},
+     "check FILE                  report all errors in a fleet configuration"},
+    {"apply", command_name::apply, 1, "apply FILE --read-at N      activate a fleet configuration"},
     {"show", command_name::show, 0,
      "show                        print the fleet text and drains stored at the platform"},
     {"status", command_name::status, 0,
--- a/source/almondquay/commands.h
+++ b/source/almondquay/commands.h
@@ -5,7 +5,8 @@
 
 #include <iosfwd>
 
-/// The commands of the operators' tool. Each prints its output and returns its result code.
+/// The commands of the operators' command-line tool. Each prints its output and returns its result
+/// code.
 namespace almondquay {
 
 result_code run_check(const command_line& c);
--- a/source/almondquay/drain_commands.cpp
+++ b/source/almondquay/drain_commands.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-/// Limit on attempts to write a drain. Drains by different operators do not contradict each other,
-/// so a write that loses to another one is retried on top of it.
+/// Maximum number of attempts to write a drain. Concurrent drains by different operators do not
+/// contradict each other, so after a write conflict the drain is added to the new version.
 constexpr int max_write_attempts = 5;
 
 bool is_known(const fleet& f, drain_kind kind, const std::string& name)
@@ -45,7 +45,8 @@
            c.subject + ": " + c.reason;
 }
 
-/// Makes one attempt. Errors: platform_conflict if another write came first, and others.
+/// Makes one attempt to write the drain or undrain. Errors: platform_conflict if the object was
+/// changed concurrently, and others.
 result<generation> try_drain(operator_session& session, const command_line& c)
 {
     const auto read = read_fleet(session);
--- a/source/almondquay/operator_session.h
+++ b/source/almondquay/operator_session.h
@@ -36,21 +36,21 @@
 /// Reads the fleet object; an empty envelope if there is none. Errors: those of the platform.
 result<platform_fleet> read_fleet(operator_session& session);
 
-/// Replaces the version that was read by `next`. If the response is lost, reads the object back,
-/// so that a write that took effect is not reported as failed. Errors: platform_conflict and
-/// others.
+/// Writes `next`, provided that the object is still at the version of `read`. If the response is
+/// lost, reads the object back, so that a write that took effect is not reported as failed. Errors:
+/// platform_conflict and others.
 result<done> write_fleet(operator_session& session, const platform_fleet& read,
                          const fleet_envelope& next);
 
 /// Responses to one RPC method, keyed by the host's endpoint.
 using host_answers = std::map<endpoint, result<std::string>>;
 
-/// Calls `method` on every host: the seeds of the settings and the hosts listed in the fleet texts
-/// that the seeds have in force.
+/// Calls `method` on every host: the seeds of the settings and the hosts in the fleet
+/// configurations that are active on the seeds.
 host_answers call_hosts(operator_session& session, const std::string& method,
                         const std::string& argument = "");
 
-/// The highest generation that any host has in force; 0 if no host responded.
+/// The highest generation that is active on any host; 0 if no host responded.
 generation highest_in_force(operator_session& session);
 
 } // namespace almondquay
--- a/source/almondquay/text_commands.cpp
+++ b/source/almondquay/text_commands.cpp
@@ -98,7 +98,7 @@
         return report_error(error_of(read));
     }
     const auto& current = value_of(read);
-    // Without --read-at only the first text can be applied: there is no generation to read before.
+    // Without --read-at only the first fleet text is accepted, as no generation exists yet.
     if (current.envelope.number.value != c.read_at.value_or(0)) {
         return report_conflict(current);
     }
