--- a/source/config/process_settings.cpp
+++ b/source/config/process_settings.cpp
@@ -15,7 +15,7 @@
 constexpr number_range grace_range{0, 3'600};
 constexpr number_range ratio_range{0, 1};
 constexpr number_range weight_range{0, 1'000};
-constexpr number_range news_range{1, 60};
+constexpr number_range propagation_delay_range{1, 60};
 constexpr number_range budget_range{0, 1'000'000};
 
 void read_endpoint(section_reader& reader, std::string_view key, endpoint& into)
@@ -102,8 +102,8 @@
             report(reader, item, result_code::bad_value, error_of(seed).detail);
         }
     }
-    settings.max_propagation_delay =
-        read_seconds(reader, "news_within_s", news_range, settings.max_propagation_delay);
+    settings.max_propagation_delay = read_seconds(reader, "news_within_s", propagation_delay_range,
+                                                  settings.max_propagation_delay);
     settings.secret.bytes = read_required(reader, "shared_secret");
     if (settings.secret.bytes.size() < min_secret_length) {
         report(reader, "shared_secret", result_code::bad_value,
