--- a/source/trace/log_source.cpp
+++ b/source/trace/log_source.cpp
@@ -110,7 +110,7 @@
     return *this;
 }
 
-result<done> log_source::for_each_line(const std::function<void(std::string_view)>& take) const
+result<done> log_source::for_each_line(const std::function<void(std::string_view)>& on_line) const
 {
     std::vector<char> buffer(buffer_bytes);
     std::uintmax_t read = 0;
@@ -124,7 +124,7 @@
         }
         for (std::string line; std::getline(in, line);) {
             read += line.size() + 1;
-            take(line);
+            on_line(line);
             if (progress && read - reported >= progress_bytes) {
                 reported = read;
                 progress(read);
--- a/source/trace/log_source.h
+++ b/source/trace/log_source.h
@@ -21,10 +21,10 @@
     log_source(const log_source&) = delete;
     log_source& operator=(const log_source&) = delete;
 
-    /// Calls `take` for each line, file by file; the files of a directory are sorted by name. Only
-    /// one line is held in memory. `progress`, if set, is called periodically with the bytes read.
-    /// Errors: text_unreadable.
-    result<done> for_each_line(const std::function<void(std::string_view)>& take) const;
+    /// Calls `on_line` for each line, file by file; the files of a directory are sorted by name.
+    /// Only one line is held in memory. `progress`, if set, is called periodically with the bytes
+    /// read. Errors: text_unreadable.
+    result<done> for_each_line(const std::function<void(std::string_view)>& on_line) const;
 
     std::function<void(std::uintmax_t)> progress;
 
