--- a/source/trace/request_trace.cpp
+++ b/source/trace/request_trace.cpp
@@ -108,8 +108,8 @@
     const auto first = logs.for_each_line([&](std::string_view text) {
         const bool may_name_request =
             count < max_trace_lines && text.find(id) != std::string_view::npos;
-        const bool may_tell_dropped = text.find(dropped_event) != std::string_view::npos;
-        if (!may_name_request && !may_tell_dropped) {
+        const bool may_be_dropped_event = text.find(dropped_event) != std::string_view::npos;
+        if (!may_name_request && !may_be_dropped_event) {
             return;
         }
         auto line = parse_log_line(text);
