--- a/source/trace/request_trace.cpp
+++ b/source/trace/request_trace.cpp
@@ -70,8 +70,8 @@
            line.event == "quarantine_request" || line.event == "adopt_fleet";
 }
 
-bool belongs_to(const log_line& line, const std::map<std::string, host_span>& spans,
-                const std::set<std::string>& targets)
+bool is_context_line(const log_line& line, const std::map<std::string, host_span>& spans,
+                     const std::set<std::string>& targets)
 {
     const auto span = spans.find(line.process);
     if (span == spans.end() || line.time < span->second.first - context_before ||
@@ -133,7 +133,7 @@
             return;
         }
         auto line = parse_log_line(text);
-        if (line && belongs_to(*line, spans, targets)) {
+        if (line && is_context_line(*line, spans, targets)) {
             ++count;
             context[line->process].push_back(std::move(*line));
         }
