--- a/source/trace/request_cause.cpp
+++ b/source/trace/request_cause.cpp
@@ -197,15 +197,15 @@
 }
 
 /// The number of failed attempts other than the decisive one.
-std::string other_failures_text(const request_trace& trace, const log_line* deciding)
+std::string other_failures_text(const request_trace& trace, const log_line* decisive)
 {
     const auto failed = std::ranges::count_if(trace.lines, [&](const log_line& line) {
-        return line.event == "attempt_failed" && &line != deciding;
+        return line.event == "attempt_failed" && &line != decisive;
     });
     if (failed == 0) {
         return "";
     }
-    const std::string_view other = deciding == nullptr ? "" : "other ";
+    const std::string_view other = decisive == nullptr ? "" : "other ";
     return " " + std::to_string(failed) + " " + std::string(other) +
            (failed == 1 ? "attempt failed." : "attempts failed.");
 }
