--- a/source/almondquayd/daemon.cpp
+++ b/source/almondquayd/daemon.cpp
@@ -124,10 +124,10 @@
     for (const auto& [id, t] : d.state.fleet.configuration.targets) {
         running += d.traffic->in_flight(id);
     }
-    const bool has_grace = d.state.stage == life_stage::leaving;
+    const bool is_leaving = d.state.stage == life_stage::leaving;
     log::write(
         log::level::warning, "still_stopping",
-        {{"waiting_for", has_grace ? "cached lookups of this host to expire" : "running requests"},
+        {{"waiting_for", is_leaving ? "cached lookups of this host to expire" : "running requests"},
          {"running_requests", std::to_string(running)}});
 }
 
