--- a/source/almondquay/log_commands.cpp
+++ b/source/almondquay/log_commands.cpp
@@ -78,7 +78,7 @@
     return lines;
 }
 
-void print_request_trace(const request_trace& story, const request_cause& cause)
+void print_request_trace(const request_trace& trace, const request_cause& cause)
 {
     std::cout << "cause: " << cause.text << '\n';
     if (!cause.result.empty()) {
@@ -86,15 +86,15 @@
                   << (cause.outcome.empty() ? "" : ", outcome " + cause.outcome) << ", at "
                   << cause.host << '\n';
     }
-    if (story.lines.empty()) {
+    if (trace.lines.empty()) {
         return;
     }
     std::cout << "lines of the request:\n";
-    std::ranges::for_each(story.lines, print_line);
-    const auto context = nearest_lines(story.context, story.lines.back().time);
+    std::ranges::for_each(trace.lines, print_line);
+    const auto context = nearest_lines(trace.context, trace.lines.back().time);
     if (!context.empty()) {
         std::cout << "decisions of the same hosts (" << context.size() << " of "
-                  << story.context.size() << "):\n";
+                  << trace.context.size() << "):\n";
         std::ranges::for_each(context, print_line);
     }
 }
@@ -149,11 +149,11 @@
     if (!succeeded(logs)) {
         return report_error(error_of(logs));
     }
-    const auto story = read_request_trace(value_of(logs), c.subject);
-    if (!succeeded(story)) {
-        return report_error(error_of(story));
+    const auto trace = read_request_trace(value_of(logs), c.subject);
+    if (!succeeded(trace)) {
+        return report_error(error_of(trace));
     }
-    const auto& traced = value_of(story);
+    const auto& traced = value_of(trace);
     const auto cause = find_cause(traced);
     if (c.json) {
         std::cout << json{{"id", traced.id},
