--- a/source/almondquay/log_commands.cpp
+++ b/source/almondquay/log_commands.cpp
@@ -184,11 +184,11 @@
     if (!succeeded(logs)) {
         return report_error(error_of(logs));
     }
-    const auto belief = read_host_state(value_of(logs), c.subject, *at);
-    if (!succeeded(belief)) {
-        return report_error(error_of(belief));
+    const auto host_state = read_host_state(value_of(logs), c.subject, *at);
+    if (!succeeded(host_state)) {
+        return report_error(error_of(host_state));
     }
-    const auto& b = value_of(belief);
+    const auto& b = value_of(host_state);
     if (b.lines == 0) {
         return report_error({result_code::host_not_logged, c.subject});
     }
