--- a/source/steering/lookup_plan.h
+++ b/source/steering/lookup_plan.h
@@ -45,8 +45,8 @@
 std::uint32_t usable_slots(const fleet& f, const capacity_index& capacity,
                            const failure_domain_id& domain, const service_id& id);
 
-/// The hosts for callers near `near_region`: first those at the smallest distance that can serve,
-/// weighted by the slots behind them, then those of other regions with weight 0.
+/// The hosts for callers near `near_region`, nearest first. Those at the smallest distance that can
+/// serve are weighted by the usable slots of their failure domain; all others have weight 0.
 std::vector<host_choice> choose_hosts(const fleet& f, const capacity_index& capacity,
                                       const service_id& id, const region_id& near_region);
 
--- a/source/steering/routing_snapshot.h
+++ b/source/steering/routing_snapshot.h
@@ -23,7 +23,7 @@
     std::uint32_t slots = 0;       ///< this host's share
     std::uint32_t connections = 0; ///< this host's share
     bool usable = false;
-    bool sheds_unrun = false;
+    bool sheds_unrun = false;     ///< status 503 means that the request was not run
     bool is_spill = false;        ///< an entry host of another failure domain
     double bytes_per_second = 0;  ///< bandwidth limit of one spilled request
     bool checks_identity = false; ///< rejects requests for another target instance
@@ -43,10 +43,10 @@
 
 struct routing_snapshot
     : boost::intrusive_ref_counter<routing_snapshot, boost::thread_safe_counter> {
-    generation in_force;
+    generation in_force; ///< of the configuration in force
     bool ready = false;
-    bool leaving = false;
-    region_id home;
+    bool leaving = false; ///< this host is leaving the fleet
+    region_id home;       ///< region of this host
     block_table_ptr blocks;
     std::set<std::uint64_t> quarantined; ///< fingerprints of refused requests
     std::map<std::string, service_routes, std::less<>> services;
--- a/source/steering/slot_share.h
+++ b/source/steering/slot_share.h
@@ -7,14 +7,16 @@
 
 namespace almondquay {
 
-/// The share of a target's `whole` slots that the host at `position` of `hosts` may use. Shares
-/// depend on the configuration alone and not on which hosts are alive, so those of all hosts always
-/// add up to `whole`. The remainder goes to consecutive hosts from `first` on: if each target
-/// starts where the previous one ended, the hosts' totals over all targets differ by at most one.
+/// The number of a target's `whole` slots that the host with index `position` among `hosts` hosts
+/// may use. Shares depend on the configuration alone and not on which hosts are alive, so the
+/// shares of all hosts always add up to `whole`. The remainder of the division is given to
+/// consecutive hosts, one slot each, starting with index `first`. If each target starts where the
+/// previous one ended, the hosts' totals over all targets differ by at most one.
 std::uint32_t share_of(std::uint32_t whole, std::size_t first, std::size_t position,
                        std::size_t hosts);
 
-/// A pseudo-random starting position, for a target that is not balanced together with others.
+/// A pseudo-random value for `first`, derived from the name of a target whose remainder is not
+/// balanced with that of other targets.
 std::size_t hashed_position(const target_id& name);
 
 } // namespace almondquay
