--- a/source/traffic/caller_connection.h
+++ b/source/traffic/caller_connection.h
@@ -31,10 +31,11 @@
 
     beast::tcp_stream stream;
     beast::flat_buffer buffer{max_caller_buffer_bytes};
-    asio::steady_timer changed;     ///< cancelled to wake waiters whenever a field below changes
+    asio::steady_timer changed; ///< cancelled to wake waiters when `current_turn` or `gone` changes
     std::uint64_t next_turn = 0;    ///< sequence number of the next request that is read
     std::uint64_t current_turn = 0; ///< sequence number of the request whose response is sent next
-    /// No further request is accepted; the caller resends pipelined ones that follow.
+    /// No further request is accepted; the caller must resend pipelined ones that were not
+    /// answered.
     bool closing = false;
     bool gone = false; ///< closed by the caller or no longer usable
     boost::intrusive::list<active_request, boost::intrusive::constant_time_size<false>> requests;
@@ -53,7 +54,7 @@
 /// will be sent.
 void end_turn(caller_connection& connection);
 
-/// Whether no request was read after this one, so that its response may close the connection.
+/// Whether this is the last request read so far, so that its response may close the connection.
 bool is_last(const caller_connection& connection, std::uint64_t turn);
 
 /// Marks the connection as gone and closes the upstream connections of its repeatable requests.
--- a/source/traffic/caller_reader.h
+++ b/source/traffic/caller_reader.h
@@ -30,7 +30,7 @@
     read_limit(const read_limit&) = delete;
     read_limit& operator=(const read_limit&) = delete;
 
-    /// Replaces the cancellation error of an expired limit by a timeout error.
+    /// Turns the error of a read that was cancelled by the timeout into a timeout error.
     void translate(error_code& problem) const
     {
         if (problem && state_->expired) {
@@ -55,7 +55,7 @@
 asio::awaitable<void> read_request_header(const worker& w, caller_connection& connection,
                                           caller_parser& parser, error_code& problem);
 
-/// Reads the first piece of the body and sets whether that is the complete body.
+/// Reads the first piece of the body into the request and sets `body_is_complete`.
 asio::awaitable<void> read_body(caller_request& request, error_code& problem);
 
 /// Timeout for the next piece of a request's body: at most the time left until the request's
--- a/source/traffic/exchange.cpp
+++ b/source/traffic/exchange.cpp
@@ -186,7 +186,7 @@
 
 /// Sends the response header and `size` bytes of its body, then streams the rest. If the target's
 /// body is truncated, the caller's connection is closed without a proper end of the body, so that
-/// the caller does not take it for complete.
+/// the caller detects the truncation.
 asio::awaitable<void> stream_response(caller_request& request, upstream_connection& upstream,
                                       upstream_parser& parser, std::string& piece, std::size_t size,
                                       pacing rate, worker& w, forward_result& end)
@@ -301,9 +301,9 @@
                                             : result_code::target_answer_lost;
 }
 
-/// Whether a response that has not arrived after `part` of the time most likely never will. A
+/// Whether a response that has not arrived after a waiting time of `part` most likely never will. A
 /// reused connection may have died before the request was sent. A new one may die while waiting,
-/// which can be noticed only if the service's responses usually arrive much sooner.
+/// which can be detected only if the service's responses usually arrive much sooner.
 bool is_likely_lost(const worker& w, const caller_request& request, const upstream_connection& used,
                     clock::duration part)
 {
--- a/source/traffic/forward.cpp
+++ b/source/traffic/forward.cpp
@@ -28,7 +28,7 @@
 /// slightly before its listener.
 constexpr std::chrono::milliseconds crash_check_delay{150};
 
-/// Returns the slot to the pool when the attempt ends, however it ends.
+/// Returns the slot to the pool when the attempt ends, whatever its result.
 struct slot_guard {
     slot_guard(slot_pool& p, slot s) : pool(&p), held(std::move(s)) {}
     ~slot_guard() { pool->give_back(held); }
@@ -66,7 +66,7 @@
     co_return std::move(waiter.granted);
 }
 
-/// Decrements the in-flight count of a shared target when the attempt ends, however it ends.
+/// Decrements the in-flight count of a shared target when the attempt ends, whatever its result.
 struct load_guard {
     load_guard(worker& owner, target_id id) : w(&owner), target(std::move(id)) {}
     ~load_guard() { --w->loads[target].in_flight; }
@@ -171,9 +171,9 @@
            std::string(head.target()).substr(0, longest_path);
 }
 
-/// Reports a crash unless the target still accepts connections; in that case it, or a network
-/// device on the path, merely lost a response. The connection opened for this test is kept for
-/// later requests.
+/// Reports a crash unless the target still accepts connections; in that case only a response was
+/// lost, by the target or by a network device on the path. The connection opened for this test is
+/// kept for later requests.
 asio::awaitable<void> report_if_crashed(worker& w, crash_evidence evidence, endpoint address)
 {
     error_code problem;
--- a/source/traffic/forward.h
+++ b/source/traffic/forward.h
@@ -22,7 +22,7 @@
     caller_connection* caller = nullptr;
     caller_parser* parser = nullptr;  ///< reads the rest of a body that is not buffered completely
     std::uint64_t turn = 0;           ///< sequence number among the connection's requests
-    snapshot_ptr snapshot;            ///< in force when the request was read; owns `rule`
+    snapshot_ptr snapshot;            ///< the latest one when the request was read; owns `rule`
     const route_rule* rule = nullptr; ///< nullptr if the Host header names the service
     std::string service;
     std::string id; ///< request ID given by the caller; empty if there is none
@@ -35,7 +35,7 @@
     bool is_sampled = false; ///< logged even if it succeeds
     bool was_shed = false;   ///< rejected for lack of capacity, so other regions may be used
     bool can_retry = false;  ///< a retry is possible, so an error response need not be relayed
-    std::optional<target_id> abandoned_target; ///< whose response was late
+    std::optional<target_id> abandoned_target; ///< target of an attempt abandoned for a retry
     std::string body;                          ///< the first piece of the body
     bool body_is_complete = false;
 };
--- a/source/traffic/placement.cpp
+++ b/source/traffic/placement.cpp
@@ -13,7 +13,7 @@
 using clock = std::chrono::steady_clock;
 using std::chrono::milliseconds;
 
-constexpr double hashes = 18446744073709551616.0; // 2^64
+constexpr double hashes = 18446744073709551616.0; // 2^64, the number of hash values
 
 /// Weight of the newest response in the moving average of a target's time per request.
 constexpr double service_time_weight = 0.2;
@@ -84,8 +84,8 @@
     return found == loads.end() ? nullptr : &found->second;
 }
 
-/// A hash between 0 and 1 of an object and a target. The target hands the object over while its
-/// handed-over share is above this.
+/// A hash of an object and a target, scaled to the range from 0 to 1. The target hands the object
+/// over while its handed-over share is above this.
 double handover_threshold(std::uint64_t object, const target_route& t)
 {
     constexpr std::uint64_t seed =
@@ -238,7 +238,8 @@
 
 void note_service_time(target_load& load, const std::uint32_t slots, clock::duration took)
 {
-    // A request that was queued waited until the requests before it had passed through the slots.
+    // A queued request also waits for the requests ahead of it: about one service time for every
+    // `slots` of them.
     const std::chrono::duration<double, std::milli> whole = took;
     const auto rounds = 1 + static_cast<double>(load.waiting) / std::max<std::uint32_t>(1, slots);
     const auto service = whole.count() / rounds;
--- a/source/traffic/placement.h
+++ b/source/traffic/placement.h
@@ -27,19 +27,21 @@
     std::uint32_t waiting = 0;          ///< queue length in the last load report
     double waiting_mean = 0;            ///< moving average of the reported queue length
     std::chrono::steady_clock::time_point reported{};
-    std::chrono::steady_clock::time_point avoid_until{}; ///< set after consecutive failures
-    unsigned failures = 0;                               ///< consecutive
-    std::deque<std::chrono::steady_clock::time_point> cold_sends; ///< within the last second
+    /// Other targets are preferred until then; set after consecutive failures.
+    std::chrono::steady_clock::time_point avoid_until{};
+    unsigned failures = 0; ///< consecutive
+    /// When requests were sent to the target while it was cold, within the last second.
+    std::deque<std::chrono::steady_clock::time_point> cold_sends;
 };
 
 using load_table = std::map<target_id, target_load>;
 
 /// What the selection of a target depends on for one request.
 struct placement_criteria {
-    std::optional<std::uint64_t> object; ///< hash of the object that the request accesses
-    const std::vector<region_id>* homes = nullptr;
-    region_id near_region;
-    failure_domain_id near_domain;
+    std::optional<std::uint64_t> object;           ///< hash of the object that the request accesses
+    const std::vector<region_id>* homes = nullptr; ///< permitted regions; all if null or empty
+    region_id near_region;                         ///< region of this host
+    failure_domain_id near_domain;                 ///< failure domain of this host
     /// Prefer targets of the region: for a large response, distance costs more than a cold target.
     bool stay_near = false;
     std::chrono::milliseconds objective{1'000}; ///< time left of the response time objective
@@ -53,7 +55,7 @@
     std::chrono::milliseconds wait{0};    ///< predicted time in its queue
     std::size_t position = 0;             ///< index in the object's target order
     bool any_usable = false; ///< a target is usable, though possibly at its limit for cold targets
-    bool is_refused = false; ///< it would most likely not be served in time, so it is refused
+    bool is_refused = false; ///< refused, since the response would most likely be too late
 };
 
 /// Transferring a response larger than this between regions costs more than serving it from a cold
@@ -69,7 +71,8 @@
 /// most `max_handed_over`.
 constexpr double queue_range = 6.0;
 constexpr double max_handed_over = 0.7;
-/// Some requests always pass, because only their responses show that a queue has drained.
+/// Upper bound of the refused share. The remaining requests are sent even under overload, because
+/// only their responses show that a queue has drained.
 constexpr double max_refused_share = 0.9;
 /// Weight of the newest load report in the moving average of the queue length.
 constexpr double report_weight = 0.4;
--- a/source/traffic/request_log.cpp
+++ b/source/traffic/request_log.cpp
@@ -20,7 +20,7 @@
     return std::to_string(std::chrono::duration_cast<std::chrono::milliseconds>(d).count());
 }
 
-/// Whether one more line of this kind may be written this second.
+/// Counts a line of this kind. Returns false if the limit for this second has been reached.
 bool take_line(worker& w, line_kind kind)
 {
     const auto now = clock::now();
--- a/source/traffic/session.cpp
+++ b/source/traffic/session.cpp
@@ -124,7 +124,7 @@
         }
     }
     if (must_be_alone && connection.closing) {
-        ++connection.current_turn; // Not read: the previous response closed the connection.
+        ++connection.current_turn; // Not processed: the previous response closes the connection.
         connection.changed.cancel();
         co_return;
     }
--- a/source/traffic/slot_pool.h
+++ b/source/traffic/slot_pool.h
@@ -20,10 +20,10 @@
     std::string service;
     target_id target;
     endpoint address;
-    bool sheds_unrun = false;
-    bool is_spill = false;
+    bool sheds_unrun = false;     ///< status 503 means that the request was not run
+    bool is_spill = false;        ///< the target is an entry host of another failure domain
     double bytes_per_second = 0;  ///< rate limit of a spilled request
-    bool checks_identity = false; ///< refuses requests that name another target than itself
+    bool checks_identity = false; ///< rejects requests for another target instance
 };
 
 /// A request that waits for a slot. Owned by its coroutine; the pool only links it.
@@ -48,8 +48,8 @@
     void apply(const routing_snapshot& snapshot);
 
     /// Takes a slot of the least used target. Returns nothing if all are busy, unusable or
-    /// excluded, or if other requests are waiting. Other failure domains are used only if the own
-    /// one has no free slot and `may_spill` is set.
+    /// excluded, or if other requests are waiting. Other failure domains are used only if this
+    /// host's own has no free slot and `may_spill` is set.
     std::optional<slot> try_take(std::string_view service, const std::vector<target_id>& excluded,
                                  bool may_spill = false);
 
@@ -60,6 +60,7 @@
     /// Removes the waiter from the queue. A slot granted in the meantime stays in `granted`.
     void cancel(std::string_view service, slot_waiter& waiter);
 
+    /// Returns a slot, which may be granted to a waiter at once.
     void give_back(const slot& s);
 
     /// Number of requests from this host that run on the target.
--- a/source/traffic/upstream_pool.h
+++ b/source/traffic/upstream_pool.h
@@ -27,7 +27,7 @@
     beast::flat_buffer buffer{max_upstream_buffer_bytes};
     std::chrono::steady_clock::time_point idle_since;
     std::chrono::milliseconds idle_limit{0}; ///< idle timeout announced by the target; 0 if none
-    bool reused = false;                     ///< has been taken from the pool
+    bool reused = false; ///< taken from the pool, so it has carried a request before
 };
 
 using connection_ptr = boost::intrusive_ptr<upstream_connection>;
--- a/source/traffic/wire_profile.h
+++ b/source/traffic/wire_profile.h
@@ -17,7 +17,7 @@
     std::string_view deadline_header{};        ///< milliseconds that the caller will wait
     std::string_view request_id_header{};      ///< targets echo it in their responses
     std::string_view object_cookie{};          ///< identifies the object that the request accesses
-    std::string_view expected_target_header{}; ///< a target with another id refuses the request
+    std::string_view expected_target_header{}; ///< a target with another ID rejects the request
     std::string_view not_run_header{}; ///< on responses of targets that did not run the request
     std::string_view load_header{};    ///< a target's load report, "running,waiting,slots"
     bool reports_outcome = false; ///< responses carry the outcome, the result code and the host
--- a/source/traffic/worker.h
+++ b/source/traffic/worker.h
@@ -36,7 +36,7 @@
     slot_pool* slots = nullptr;
     metrics::registry* metrics = nullptr;
     traffic_events events;
-    std::uint64_t first_request = 0; ///< the first number of this thread's claimed requests
+    std::uint64_t first_request = 0; ///< number of this thread's first claim request
 };
 
 /// A request that waits for the verdict on its claim.
@@ -74,14 +74,14 @@
     std::map<std::string, double, std::less<>> slowest_response_ms; ///< by service
     std::mt19937_64 random;
     std::chrono::steady_clock::time_point log_window_start{};
-    unsigned failure_lines = 0; ///< in this window
+    unsigned failure_lines = 0; ///< log lines written in this window
     unsigned success_lines = 0;
-    std::uint64_t log_lines_dropped = 0; ///< about failures
-    std::uint64_t requests_read = 0;     ///< for sampling
+    std::uint64_t log_lines_dropped = 0; ///< lines about failures not written in this window
+    std::uint64_t requests_read = 0;     ///< selects the requests that are logged as a sample
     std::map<target_id, unsigned> consecutive_failures;
-    std::map<std::uint64_t, verdict_wait*> verdicts; ///< by request number
-    std::uint64_t requests = 0;
-    std::set<request_fingerprint> suspects; ///< in flight when this thread saw a target crash
+    std::map<std::uint64_t, verdict_wait*> verdicts; ///< by number of the claim request
+    std::uint64_t requests = 0;                      ///< number of claims requested so far
+    std::set<request_fingerprint> suspects; ///< sent by this thread to a target that then crashed
     bool stopping = false;
     std::function<void()> on_drained; ///< called once when the last connection has ended
 };
@@ -99,7 +99,7 @@
 void note_response_time(worker& w, const std::string& service,
                         std::chrono::steady_clock::duration took);
 
-/// Update a route's estimates with the time or response size of one request.
+/// Updates a route's estimates with the time or response size of one request.
 void note_work(route_estimate& estimate, std::chrono::steady_clock::duration took);
 void note_response_size(route_estimate& estimate, double bytes);
 
