--- a/source/http/client.cpp
+++ b/source/http/client.cpp
@@ -93,7 +93,7 @@
 
 struct attempt {
     error_code problem;
-    bool sent = false;
+    bool sent = false; ///< part of the request may have been sent
     bool keep_alive = false;
     std::optional<response> answer;
 };
@@ -154,8 +154,8 @@
         }
     }
     if (a.problem == beast::error::timeout) {
-        state->idle.erase(
-            to); // Other connections to an unresponsive peer are most likely dead too.
+        // Other connections to an unresponsive peer are most likely dead too.
+        state->idle.erase(to);
     }
     if (a.answer && a.keep_alive) {
         keep_idle(*state, to, std::move(stream));
--- a/source/http/server.cpp
+++ b/source/http/server.cpp
@@ -25,8 +25,8 @@
 constexpr std::chrono::seconds request_timeout{30};
 constexpr std::chrono::milliseconds accept_pause{50};
 
-/// Wakes the connection's coroutine when the handler has responded, which may happen before the
-/// coroutine waits.
+/// The response that a handler has yet to give. `signal` wakes the connection's coroutine; `answer`
+/// is checked first, because the handler may respond before the coroutine waits.
 struct pending_response {
     explicit pending_response(asio::io_context& io)
         : signal(io, asio::steady_timer::time_point::max())
