--- a/source/traffic/exchange.cpp
+++ b/source/traffic/exchange.cpp
@@ -281,11 +281,11 @@
     if (used.checks_identity && answer.result_int() == status_wrong_target) {
         return result_code::target_replaced;
     }
-    const bool says_so =
+    const bool has_not_run_header =
         !profile.not_run_header.empty() && answer.find(profile.not_run_header) != answer.end();
     const bool is_declared =
         used.sheds_unrun && answer.result() == beast::http::status::service_unavailable;
-    return says_so || is_declared ? result_code::target_shed : result_code::ok;
+    return has_not_run_header || is_declared ? result_code::target_shed : result_code::ok;
 }
 
 result_code code_of_failure(const error_code& problem)
