--- a/source/traffic/exchange.cpp
+++ b/source/traffic/exchange.cpp
@@ -283,9 +283,9 @@
     }
     const bool has_not_run_header =
         !profile.not_run_header.empty() && answer.find(profile.not_run_header) != answer.end();
-    const bool is_declared =
+    const bool is_shed_status =
         used.sheds_unrun && answer.result() == beast::http::status::service_unavailable;
-    return has_not_run_header || is_declared ? result_code::target_shed : result_code::ok;
+    return has_not_run_header || is_shed_status ? result_code::target_shed : result_code::ok;
 }
 
 result_code code_of_failure(const error_code& problem)
