--- a/source/traffic/forward_claimed.cpp
+++ b/source/traffic/forward_claimed.cpp
@@ -22,7 +22,7 @@
 asio::awaitable<claim_verdict_effect> request_claim(worker& w, claim_requested_event wanted)
 {
     verdict_wait wait(w.io);
-    wanted.request = w.context.first_request + w.requests++;
+    wanted.request = w.context.first_request + w.claim_requests++;
     w.verdicts[wanted.request] = &wait;
     w.context.events.claim_requested(wanted);
     while (!wait.verdict) {
--- a/source/traffic/worker.h
+++ b/source/traffic/worker.h
@@ -80,7 +80,7 @@
     std::uint64_t requests_read = 0;     ///< selects the requests that are logged as a sample
     std::map<target_id, unsigned> consecutive_failures;
     std::map<std::uint64_t, verdict_wait*> verdicts; ///< by number of the claim request
-    std::uint64_t requests = 0;                      ///< number of claims requested so far
+    std::uint64_t claim_requests = 0;                ///< number of claims requested so far
     std::set<request_fingerprint> suspects; ///< sent by this thread to a target that then crashed
     bool stopping = false;
     std::function<void()> on_drained; ///< called once when the last connection has ended
