--- a/source/traffic/placement.cpp
+++ b/source/traffic/placement.cpp
@@ -13,7 +13,7 @@
 using clock = std::chrono::steady_clock;
 using std::chrono::milliseconds;
 
-constexpr double hashes = 18446744073709551616.0; // 2^64, the number of hash values
+constexpr double hash_count = 18446744073709551616.0; // 2^64, the number of hash values
 
 /// Weight of the newest response in the moving average of a target's time per request.
 constexpr double service_time_weight = 0.2;
@@ -91,7 +91,7 @@
     constexpr std::uint64_t seed =
         0x9e3779b97f4a7c15U; // Differs from the seed of `rendezvous_score`.
     const auto hash = XXH3_64bits_withSeed(t.id.value.data(), t.id.value.size(), object ^ seed);
-    return static_cast<double>(hash) / hashes;
+    return static_cast<double>(hash) / hash_count;
 }
 
 /// The index of the first target in the object's order that does not hand it over; if all do, of
@@ -151,7 +151,7 @@
 double rendezvous_score(std::uint64_t object, const target_route& target)
 {
     const auto hash = XXH3_64bits_withSeed(target.id.value.data(), target.id.value.size(), object);
-    const auto part = (static_cast<double>(hash) + 1.0) / (hashes + 2.0);
+    const auto part = (static_cast<double>(hash) + 1.0) / (hash_count + 2.0);
     return -static_cast<double>(std::max<std::uint32_t>(1, target.slots)) / std::log(part);
 }
 
