--- a/source/traffic/caller_reader.cpp
+++ b/source/traffic/caller_reader.cpp
@@ -116,7 +116,7 @@
     auto& body = request.parser->get().body();
     body.data = request.body.data();
     body.size = request.body.size();
-    const read_limit limit(*request.caller, body_read_timeout(request));
+    const read_timeout limit(*request.caller, body_read_timeout(request));
     co_await beast::http::async_read(request.caller->stream, request.caller->buffer,
                                      *request.parser, redirect_error_to(problem));
     limit.translate(problem);
@@ -160,7 +160,7 @@
     const auto& limits = w.snapshot ? w.snapshot->limits : caller_limits();
     parser.header_limit(limits.header_bytes);
     parser.body_limit(limits.body_bytes);
-    const read_limit limit(connection, limits.header_time);
+    const read_timeout limit(connection, limits.header_time);
     co_await beast::http::async_read_header(connection.stream, connection.buffer, parser,
                                             redirect_error_to(problem));
     limit.translate(problem);
--- a/source/traffic/caller_reader.h
+++ b/source/traffic/caller_reader.h
@@ -13,9 +13,9 @@
 
 /// Cancels a read from the caller after a timeout. Unlike the timeout of the stream itself, it
 /// leaves the connection open so that an error response can be sent.
-class read_limit {
+class read_timeout {
 public:
-    read_limit(caller_connection& connection, std::chrono::milliseconds limit)
+    read_timeout(caller_connection& connection, std::chrono::milliseconds limit)
         : timer_(connection.stream.get_executor(), limit), state_(std::make_shared<shared_state>())
     {
         connection.stream.expires_never();
@@ -26,9 +26,9 @@
             }
         });
     }
-    ~read_limit() { state_->ended = true; }
-    read_limit(const read_limit&) = delete;
-    read_limit& operator=(const read_limit&) = delete;
+    ~read_timeout() { state_->ended = true; }
+    read_timeout(const read_timeout&) = delete;
+    read_timeout& operator=(const read_timeout&) = delete;
 
     /// Turns the error of a read that was cancelled by the timeout into a timeout error.
     void translate(error_code& problem) const
--- a/source/traffic/exchange.cpp
+++ b/source/traffic/exchange.cpp
@@ -107,7 +107,7 @@
         auto& source = request.parser->get().body();
         source.data = piece.data();
         source.size = piece.size();
-        const read_limit limit(*request.caller, body_read_timeout(request));
+        const read_timeout limit(*request.caller, body_read_timeout(request));
         co_await beast::http::async_read(request.caller->stream, request.caller->buffer,
                                          *request.parser, redirect_error_to(problem));
         limit.translate(problem);
