--- a/source/traffic/caller_reader.cpp
+++ b/source/traffic/caller_reader.cpp
@@ -30,20 +30,20 @@
 }
 
 /// Closes an idle connection after a timeout, but only while none of its requests is active.
-class idle_limit {
+class idle_timeout {
 public:
-    idle_limit(caller_connection& connection, std::chrono::milliseconds limit)
+    idle_timeout(caller_connection& connection, std::chrono::milliseconds limit)
         : state_(boost::intrusive_ptr<shared_state>(new shared_state(connection, limit)))
     {
         arm(state_);
     }
-    ~idle_limit()
+    ~idle_timeout()
     {
         state_->connection = nullptr;
         state_->timer.cancel();
     }
-    idle_limit(const idle_limit&) = delete;
-    idle_limit& operator=(const idle_limit&) = delete;
+    idle_timeout(const idle_timeout&) = delete;
+    idle_timeout& operator=(const idle_timeout&) = delete;
 
 private:
     struct shared_state : boost::intrusive_ref_counter<shared_state, boost::thread_unsafe_counter> {
@@ -143,7 +143,7 @@
     }
     error_code problem;
     const auto limit = w.snapshot ? w.snapshot->limits.idle_time : caller_limits().idle_time;
-    const idle_limit idle(connection, limit);
+    const idle_timeout idle(connection, limit);
     connection.stream.expires_never();
     const auto got = co_await connection.stream.async_read_some(
         connection.buffer.prepare(read_ahead_bytes), redirect_error_to(problem));
--- a/source/traffic/exchange.cpp
+++ b/source/traffic/exchange.cpp
@@ -431,7 +431,7 @@
         co_return lost_result(request, code_of_failure(problem));
     }
     const bool target_keeps = parser->keep_alive();
-    upstream->idle_limit = idle_limit_of(*parser);
+    upstream->idle_timeout = idle_limit_of(*parser);
     auto end = co_await handle_response(w, request, used, *upstream, *parser);
     request.upstream.reset();
     if (target_keeps && parser->is_done()) {
--- a/source/traffic/upstream_pool.cpp
+++ b/source/traffic/upstream_pool.cpp
@@ -62,9 +62,9 @@
         connection_ptr latest(&connections.back(), false);
         connections.pop_back();
         const auto age = std::chrono::steady_clock::now() - latest->idle_since;
-        const auto limit = latest->idle_limit.count() == 0
+        const auto limit = latest->idle_timeout.count() == 0
                                ? std::chrono::milliseconds(max_idle_time)
-                               : latest->idle_limit - idle_margin;
+                               : latest->idle_timeout - idle_margin;
         if (age < limit && !is_readable(*latest)) {
             latest->reused = true;
             return latest;
