--- a/source/traffic/exchange.cpp
+++ b/source/traffic/exchange.cpp
@@ -367,7 +367,7 @@
 
 /// The idle timeout that a target announces in its Keep-Alive header as "timeout=N" in seconds; 0
 /// if it announces none.
-std::chrono::milliseconds idle_limit_of(const upstream_parser& parser)
+std::chrono::milliseconds idle_timeout_of(const upstream_parser& parser)
 {
     constexpr std::string_view key = "timeout=";
     const std::string text(parser.get()[beast::http::field::keep_alive]);
@@ -431,7 +431,7 @@
         co_return lost_result(request, code_of_failure(problem));
     }
     const bool target_keeps = parser->keep_alive();
-    upstream->idle_timeout = idle_limit_of(*parser);
+    upstream->idle_timeout = idle_timeout_of(*parser);
     auto end = co_await handle_response(w, request, used, *upstream, *parser);
     request.upstream.reset();
     if (target_keeps && parser->is_done()) {
