--- a/source/traffic/exchange.cpp
+++ b/source/traffic/exchange.cpp
@@ -430,11 +430,11 @@
         }
         co_return lost_result(request, code_of_failure(problem));
     }
-    const bool target_keeps = parser->keep_alive();
+    const bool target_keeps_alive = parser->keep_alive();
     upstream->idle_timeout = idle_timeout_of(*parser);
     auto end = co_await handle_response(w, request, used, *upstream, *parser);
     request.upstream.reset();
-    if (target_keeps && parser->is_done()) {
+    if (target_keeps_alive && parser->is_done()) {
         put_idle(w.upstreams, used.address, upstream);
     }
     co_return end;
