--- a/source/traffic/exchange.cpp
+++ b/source/traffic/exchange.cpp
@@ -412,8 +412,8 @@
 {
     error_code problem;
     request.upstream = upstream;
-    const auto latest_answer = response_deadline(w, request, *upstream);
-    upstream->stream.expires_at(latest_answer);
+    const auto header_deadline = response_deadline(w, request, *upstream);
+    upstream->stream.expires_at(header_deadline);
     co_await send_request(w, used, *upstream, request, problem);
     std::optional<upstream_parser> parser;
     if (!problem) {
@@ -425,7 +425,7 @@
     }
     if (problem) {
         request.upstream.reset();
-        if (latest_answer != request.deadline) {
+        if (header_deadline != request.deadline) {
             request.abandoned_target = used.target;
         }
         co_return lost_result(request, code_of_failure(problem));
