--- a/source/traffic/forward_claimed.cpp
+++ b/source/traffic/forward_claimed.cpp
@@ -51,7 +51,7 @@
     return {code, outcome_of(code), false, true, std::nullopt};
 }
 
-claim_finished_event finished(claim_number number, const forward_result& end)
+claim_finished_event make_finished_event(claim_number number, const forward_result& end)
 {
     if (end.request_outcome == outcome::not_run) {
         return {number, claim_end::not_run, {}};
@@ -70,7 +70,7 @@
 asio::awaitable<claimed_result> run_granted(worker& w, caller_request& request, claim_number number)
 {
     auto end = co_await forward(w, request);
-    w.context.events.claim_finished(finished(number, end));
+    w.context.events.claim_finished(make_finished_event(number, end));
     co_return claimed_result{std::move(end), std::nullopt};
 }
 
