--- a/source/traffic/placement.cpp
+++ b/source/traffic/placement.cpp
@@ -13,7 +13,7 @@
 using clock = std::chrono::steady_clock;
 using std::chrono::milliseconds;
 
-constexpr double hash_count = 18446744073709551616.0; // 2^64, the number of hash values
+constexpr double hash_count = 18446744073709551616.0; // 2^64
 
 /// Weight of the newest response in the moving average of a target's time per request.
 constexpr double service_time_weight = 0.2;
--- a/source/traffic/placement.h
+++ b/source/traffic/placement.h
@@ -44,7 +44,7 @@
     failure_domain_id near_domain;                 ///< failure domain of this host
     /// Prefer targets of the region: for a large response, distance costs more than a cold target.
     bool stay_near = false;
-    std::chrono::milliseconds objective{1'000}; ///< time left of the response time objective
+    std::chrono::milliseconds objective{1'000}; ///< time left until the response time objective
     std::chrono::milliseconds time_left{1'000};
     std::chrono::milliseconds work{100};              ///< time per request on a warm target
     const std::vector<target_id>* excluded = nullptr; ///< targets that have failed this request
--- a/source/traffic/traffic_server.cpp
+++ b/source/traffic/traffic_server.cpp
@@ -13,7 +13,8 @@
 
 namespace {
 
-/// Size of each thread's range of request numbers, so that they are unique and identify the thread.
+/// Size of each thread's range of claim request numbers: a number is unique in the process and
+/// identifies the thread that waits for the verdict.
 constexpr std::uint64_t requests_per_thread = 1ULL << 48U;
 
 using work_guard = asio::executor_work_guard<asio::io_context::executor_type>;
--- a/source/traffic/upstream_pool.h
+++ b/source/traffic/upstream_pool.h
@@ -26,7 +26,7 @@
     beast::tcp_stream stream;
     beast::flat_buffer buffer{max_upstream_buffer_bytes};
     std::chrono::steady_clock::time_point idle_since;
-    std::chrono::milliseconds idle_timeout{0}; ///< idle timeout announced by the target; 0 if none
+    std::chrono::milliseconds idle_timeout{0}; ///< announced by the target; 0 if none
     bool reused = false; ///< taken from the pool, so it has carried a request before
 };
 
