--- a/source/steering/route_table.h
+++ b/source/steering/route_table.h
@@ -27,7 +27,8 @@
 /// query string are ignored. The pointer is valid as long as the table.
 const route_rule* find_rule(const route_table& table, std::string_view host, std::string_view path);
 
-/// Picks the service for a request at random, in proportion to the weights of the rule's parts.
+/// Picks the service for a request at random, in proportion to the weights of the services
+/// among which the rule splits its requests.
 std::string choose_service(const route_rule& rule, std::mt19937_64& random);
 
 } // namespace almondquay
