--- a/source/claims/claim_effect.h
+++ b/source/claims/claim_effect.h
@@ -15,8 +15,8 @@
 /// Identifies a claim within one incarnation of this host; the traffic threads use it as a handle.
 using claim_number = std::uint64_t;
 
-/// Correlation id of one platform call, so that late and duplicate responses are told apart from
-/// the awaited one.
+/// Correlation id of one platform call; distinguishes the awaited response from late and duplicate
+/// ones.
 using store_call = std::uint64_t;
 
 /// Reads one segment. Completes with a claim_read_event.
--- a/source/claims/claim_log.cpp
+++ b/source/claims/claim_log.cpp
@@ -54,7 +54,8 @@
     }
     const auto decoded = decode_segment(object->body);
     if (!succeeded(decoded) || value_of(decoded).slice > slice) {
-        // An undecodable object may hold a claim of any key, so none of its keys may run.
+        // An undecodable segment may contain a claim for any key, so all keys of the slice are
+        // refused.
         log.expired = true;
         return segment_use::expired;
     }
--- a/source/claims/claim_log_writer.h
+++ b/source/claims/claim_log_writer.h
@@ -52,8 +52,8 @@
     std::vector<log_record> batch; ///< the records of the write in flight
     store_call call = 0;           ///< the platform call in flight
     std::size_t batch_bytes = 0;
-    /// Write outcomes although no claim shares the write. Set by the tick, so outcomes wait for a
-    /// claim at most until the next tick.
+    /// Whether to write outcomes even if there is no claim to batch them with. Set on each tick, so
+    /// an outcome waits for a claim until the next tick at most.
     bool outcomes_due = false;
     unsigned failures = 0;
     monotonic_time retry_at{};
--- a/source/claims/claim_record.h
+++ b/source/claims/claim_record.h
@@ -34,7 +34,7 @@
 
 /// How a claimed request ended.
 enum class claim_end {
-    not_run, ///< known for certain; the key may be claimed again, under a new claim id
+    not_run, ///< certainly not run; the key may be claimed again, under a new claim id
     ran,
     unknown, ///< may have run, so the key is never run again
 };
--- a/source/claims/claim_reducer.cpp
+++ b/source/claims/claim_reducer.cpp
@@ -175,7 +175,7 @@
     }
 }
 
-/// The verdict that local records allow, if any, without a read of the log.
+/// Decides a claim from local records alone, without reading the log, if they suffice.
 std::optional<claim_verdict> find_local_verdict(const claim_state& state, const claim_record& claim)
 {
     const auto found = state.own.find(claim.key);
--- a/source/claims/claim_reducer.h
+++ b/source/claims/claim_reducer.h
@@ -13,8 +13,8 @@
 ///
 /// Safety rests on the log alone: a claim is granted only after it is durable in the log as the
 /// key's first, and the log changes by conditional updates only. Bucket owners merely reduce
-/// platform calls: if two hosts both take themselves for the owner, one of them fails a conditional
-/// update and nothing else happens.
+/// platform calls: if two hosts both act as the owner, the conditional update of one of them fails
+/// and it reads the log again.
 namespace almondquay {
 
 /// This host's identity and its view of the live hosts.
@@ -22,15 +22,16 @@
     host_id self;
     incarnation life;
     host_incarnations alive;  ///< hosts whose claims may still be running, this one included
-    host_incarnations owners; ///< those of them that are not leaving
+    host_incarnations owners; ///< the hosts in `alive` that are not leaving
 };
 
+/// A request whose claim has not been decided yet.
 struct waiting_claim {
     std::uint64_t request = 0;
     claim_record claim;
     monotonic_time deadline{};
     monotonic_time direct_at{}; ///< when to write to the log without waiting for the owner
-    bool is_direct = false;
+    bool is_direct = false;     ///< this host writes the claim to the log itself
 };
 
 /// Local record of a key that was granted to this host.
@@ -40,6 +41,7 @@
     std::optional<outcome_record> outcome;
 };
 
+/// An outcome that has not been acknowledged as durable yet; it is sent again until it is.
 struct unsaved_outcome {
     outcome_record outcome;
     monotonic_time next_send{};
@@ -63,9 +65,9 @@
 /// request's time to run.
 constexpr std::chrono::milliseconds claim_timeout{2'000};
 constexpr std::chrono::milliseconds outcome_resend_interval{500};
-/// Limit of own claims and of unsaved outcomes in memory. Beyond it the oldest are dropped and only
-/// the log can answer for them; retries of a key whose outcome was dropped get
-/// claim_outcome_unknown.
+/// Limit of own claims and of unsaved outcomes in memory. Beyond it the oldest are dropped. Retries
+/// of a dropped claim are decided from the log alone; retries of a key whose outcome was dropped
+/// get claim_outcome_unknown.
 constexpr std::size_t max_own_claims = 20'000;
 constexpr std::chrono::seconds writer_idle_timeout{120};
 
