--- a/source/peer/gossip_message.h
+++ b/source/peer/gossip_message.h
@@ -19,7 +19,7 @@
 struct member_heartbeat {
     host_id id;
     incarnation life;
-    std::uint64_t beat = 0;
+    std::uint64_t beat = 0; ///< heartbeat counter
     bool leaving = false;
     bool dead = false;     ///< declared dead: no newer heartbeat came in time
     bool starting = false; ///< not serving yet
--- a/source/peer/inventory_copy.h
+++ b/source/peer/inventory_copy.h
@@ -24,7 +24,7 @@
     inventory_revisions at{};
     /// For each list, the revision since which the copy contains the changes; 0: the whole list.
     inventory_revisions since{};
-    std::vector<registered_target> targets; ///< with the remainder of their cold time
+    std::vector<registered_target> targets; ///< with their remaining warm-up time
     std::vector<host> hosts;
     std::vector<failure_domain_id> evacuated;
     std::vector<removed_entry> gone;
--- a/source/peer/rpc_client.cpp
+++ b/source/peer/rpc_client.cpp
@@ -10,7 +10,8 @@
 
 namespace {
 
-/// Builds the JSON-RPC request by hand, because the library's client requires C++14 and blocks.
+/// Builds the JSON-RPC request by hand, because the client of libjson-rpc-cpp requires C++14 and
+/// blocks.
 std::string encode_call(const std::string& method, const std::string& argument)
 {
     Json::Value call;
--- a/source/peer/rpc_server.cpp
+++ b/source/peer/rpc_server.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-/// Connects the library to this process's HTTP server: requests are passed in by a direct call and
-/// the response is available when it returns.
+/// Connects libjson-rpc-cpp to this process's HTTP server: requests are passed in by a direct call
+/// and the response is available when it returns.
 class direct_connector final : public jsonrpc::AbstractServerConnector {
 public:
     bool StartListening() override { return true; }
@@ -40,7 +40,8 @@
     }
 
 private:
-    /// The library requires a member function for each method; HandleMethodCall uses the table.
+    /// Never called: the library binds each method to a member function, but HandleMethodCall
+    /// looks it up in methods_ instead.
     void unused(const Json::Value& /*input*/, Json::Value& /*output*/) {}
 
     rpc_methods methods_;
--- a/source/peer/rpc_server.h
+++ b/source/peer/rpc_server.h
@@ -20,7 +20,7 @@
 inline constexpr std::string_view signature_header = "Almondquay-Signature";
 inline constexpr std::string_view rpc_path = "/rpc";
 
-/// Serves signed JSON-RPC requests; the library implements the protocol itself.
+/// Serves signed JSON-RPC requests; libjson-rpc-cpp implements the protocol.
 class rpc_server {
 public:
     static std::unique_ptr<rpc_server> create(shared_secret secret, rpc_methods methods);
@@ -28,7 +28,7 @@
     rpc_server(const rpc_server&) = delete;
     rpc_server& operator=(const rpc_server&) = delete;
 
-    /// Returns 403 for a wrong signature, otherwise the library's response, signed.
+    /// Returns 403 for a wrong signature, otherwise the signed JSON-RPC response.
     http::response handle(const http::request& request);
 
 private:
