--- a/source/store/http_object_store.h
+++ b/source/store/http_object_store.h
@@ -8,7 +8,8 @@
 
 namespace almondquay {
 
-/// Number of calls sent, by kind; a long-polling watch counts as one call, as at the platform.
+/// Number of calls sent, by kind; a long-polling watch counts as one call, as the platform counts
+/// it.
 struct platform_call_counts {
     std::uint64_t reads = 0;
     std::uint64_t writes = 0;
--- a/source/store/inventory.h
+++ b/source/store/inventory.h
@@ -25,15 +25,16 @@
 
 /// For each kind, the time since the local copy of its list was last known to be complete.
 using inventory_ages = std::array<std::chrono::milliseconds, inventory_kinds>;
+/// The maximum age; also the age of a copy that was never known to be complete.
 constexpr std::chrono::milliseconds never_confirmed{60'000};
 
 /// "configuration", "targets", "evacuated domains" or "hosts".
 std::string_view name_of(inventory_kind kind);
 
-/// A target as it has registered itself.
+/// A target as it registered itself.
 struct registered_target {
     target definition;
-    std::chrono::milliseconds cold_left{0}; ///< from the moment of its last registration
+    std::chrono::milliseconds cold_left{0}; ///< remaining warm-up time at its last registration
 
     bool operator==(const registered_target&) const = default;
 };
--- a/source/store/object_store.h
+++ b/source/store/object_store.h
@@ -41,7 +41,7 @@
     virtual void create(const std::string& key, std::string body, version_handler handler) = 0;
 
     /// Replaces the object if it still has version `expected`. Further errors:
-    /// platform_conflict, also if the object is gone.
+    /// platform_conflict, also if the object does not exist.
     virtual void update(const std::string& key, object_version expected, std::string body,
                         version_handler handler) = 0;
 
