--- a/source/claims/claim_log_writer.cpp
+++ b/source/claims/claim_log_writer.cpp
@@ -132,7 +132,7 @@
 }
 
 /// Acknowledges outcomes that are already in the log or can no longer affect it.
-void answer_kept_outcomes(claim_log_writer& writer, writer_output& out)
+void acknowledge_recorded_outcomes(claim_log_writer& writer, writer_output& out)
 {
     const auto is_kept = [&](const queued_outcome& p) {
         const auto entry = writer.log.entries.find(p.outcome.key);
@@ -259,7 +259,7 @@
         return;
     }
     const bool read_again = answer_resolved(writer, alive, out);
-    answer_kept_outcomes(writer, out);
+    acknowledge_recorded_outcomes(writer, out);
     if (writer.log.last.index >= max_segments) {
         refuse_all_as_full(writer, out);
         return;
