--- a/source/claims/claim_log_writer.cpp
+++ b/source/claims/claim_log_writer.cpp
@@ -151,7 +151,7 @@
 }
 
 /// Acknowledges the outcomes of the batch that has just become durable.
-void answer_written_outcomes(claim_log_writer& writer, writer_output& out)
+void acknowledge_written_outcomes(claim_log_writer& writer, writer_output& out)
 {
     for (const auto& record : writer.batch) {
         const auto* written = std::get_if<outcome_record>(&record);
@@ -313,7 +313,7 @@
     writer.failures = 0;
     const bool is_full =
         apply_written_batch(writer.log, writer.batch, writer.batch_bytes, value_of(version));
-    answer_written_outcomes(writer, out);
+    acknowledge_written_outcomes(writer, out);
     writer.batch.clear();
     writer.stage = writer_stage::ready;
     mark_log_refreshed(writer);
