--- a/source/claims/claim_reducer.cpp
+++ b/source/claims/claim_reducer.cpp
@@ -103,7 +103,7 @@
 
 /// Resolves a waiting request. A claim that was refused because the log could not be written may
 /// still become durable, so it is recorded as not run, which frees its key.
-void end_waiting(step& s, const waiting_claim& w, const claim_verdict& verdict)
+void resolve_waiting(step& s, const waiting_claim& w, const claim_verdict& verdict)
 {
     const auto number = w.claim.id.number;
     s.out.emplace_back(claim_verdict_effect{w.request, number, verdict});
@@ -143,7 +143,7 @@
     }
     const auto w = found->second;
     s.state.waiting.erase(found);
-    end_waiting(s, w, verdict);
+    resolve_waiting(s, w, verdict);
 }
 
 void handle_outcome_ack(step& s, const claim_id& id)
