--- a/source/claims/claim_reducer.cpp
+++ b/source/claims/claim_reducer.cpp
@@ -202,7 +202,7 @@
     return claim_replayed{own.outcome->answer};
 }
 
-void ask_owner(step& s, waiting_claim& w)
+void submit_claim(step& s, waiting_claim& w)
 {
     const auto owner = owner_of(bucket_of(w.claim.key), s.membership.owners);
     w.is_direct = owner == s.membership.self || owner.value.empty();
@@ -231,7 +231,7 @@
     waiting_claim w{e.request, claim, std::min(e.deadline, s.now + claim_timeout),
                     s.now + owner_timeout, false};
     auto& kept = s.state.waiting.emplace(claim.id.number, w).first->second;
-    ask_owner(s, kept);
+    submit_claim(s, kept);
 }
 
 void handle(step& s, const claim_finished_event& e)
