--- a/source/control/inventory_items.cpp
+++ b/source/control/inventory_items.cpp
@@ -196,17 +196,17 @@
 }
 
 void apply_removal(control_state& state, const event& e, inventory_kind kind,
-                   const std::string& name, std::chrono::milliseconds kept_for, effects& out)
+                   const std::string& name, std::chrono::milliseconds grace_left, effects& out)
 {
     if (kind != inventory_kind::targets) {
         handle_absent_entry(state, e, kind, name, out);
         return;
     }
     const target_id id(name);
-    if (kept_for.count() == 0) {
+    if (grace_left.count() == 0) {
         remove_target(state, e, id, "its entry was deleted", out);
     } else if (state.inventory.targets.contains(id)) {
-        state.inventory.missing.try_emplace(id, e.now + kept_for);
+        state.inventory.missing.try_emplace(id, e.now + grace_left);
     }
 }
 
--- a/source/control/inventory_items.h
+++ b/source/control/inventory_items.h
@@ -26,9 +26,9 @@
 void update_evacuation(control_state& state, const event& e, const failure_domain_id& domain,
                        bool begins, effects& out);
 
-/// Removes an entry that a peer reports as deleted; a target is kept for another `kept_for`.
+/// Removes an entry that a peer reports as deleted; a target is kept for another `grace_left`.
 void apply_removal(control_state& state, const event& e, inventory_kind kind,
-                   const std::string& name, std::chrono::milliseconds kept_for, effects& out);
+                   const std::string& name, std::chrono::milliseconds grace_left, effects& out);
 
 /// Removes the entries that a complete list with the names `seen` no longer contains. Returns
 /// whether there were any.
--- a/source/control/peer_inventory.cpp
+++ b/source/control/peer_inventory.cpp
@@ -108,7 +108,7 @@
     }
     for (const auto& entry : copy.gone) {
         if (entry.kind == kind) {
-            apply_removal(state, e, kind, entry.name, entry.kept_for, out);
+            apply_removal(state, e, kind, entry.name, entry.grace_left, out);
         }
     }
 }
--- a/source/peer/inventory_copy.cpp
+++ b/source/peer/inventory_copy.cpp
@@ -139,7 +139,7 @@
     json gone = json::array();
     for (const auto& entry : copy.gone) {
         gone.push_back(json::array(
-            {static_cast<std::size_t>(entry.kind), entry.name, entry.kept_for.count()}));
+            {static_cast<std::size_t>(entry.kind), entry.name, entry.grace_left.count()}));
     }
     return json{{"at", to_json(copy.at)},          {"since", to_json(copy.since)},
                 {"names", std::move(names.names)}, {"targets", std::move(targets)},
--- a/source/peer/inventory_copy.h
+++ b/source/peer/inventory_copy.h
@@ -15,7 +15,7 @@
 struct removed_entry {
     inventory_kind kind = inventory_kind::targets;
     std::string name;
-    std::chrono::milliseconds kept_for{0}; ///< remaining grace period; 0: removed already
+    std::chrono::milliseconds grace_left{0}; ///< remaining grace period; 0: removed already
 
     bool operator==(const removed_entry&) const = default;
 };
