--- a/source/control/peer_inventory.cpp
+++ b/source/control/peer_inventory.cpp
@@ -36,7 +36,7 @@
     const auto missing = state.inventory.missing.find(entry.definition.id);
     if (missing != state.inventory.missing.end()) {
         const auto left = std::max(time_left(missing->second, now), milliseconds{1});
-        copy.gone.push_back({inventory_kind::targets, entry.definition.id.value, left});
+        copy.removed.push_back({inventory_kind::targets, entry.definition.id.value, left});
     }
     copy.targets.push_back(std::move(entry));
 }
@@ -60,7 +60,7 @@
         copy.evacuated.emplace_back(name);
         return;
     }
-    copy.gone.push_back({kind, name, milliseconds{0}});
+    copy.removed.push_back({kind, name, milliseconds{0}});
 }
 
 std::set<std::string> all_names(const inventory_state& inventory, inventory_kind kind)
@@ -106,7 +106,7 @@
             update_evacuation(state, e, domain, true, out);
         }
     }
-    for (const auto& entry : copy.gone) {
+    for (const auto& entry : copy.removed) {
         if (entry.kind == kind) {
             apply_removal(state, e, kind, entry.name, entry.grace_left, out);
         }
@@ -157,7 +157,7 @@
         list.seen.clear();
         record_list_replacement(state.inventory, kind, list.at);
     } else {
-        for (const auto& entry : copy.gone) {
+        for (const auto& entry : copy.removed) {
             if (entry.kind == kind) {
                 names.insert(entry.name);
             }
--- a/source/peer/inventory_copy.cpp
+++ b/source/peer/inventory_copy.cpp
@@ -114,7 +114,7 @@
         copy.evacuated.emplace_back(domain.get<std::string>());
     }
     for (const auto& row : whole.at("gone")) {
-        copy.gone.push_back(decode_removed(row));
+        copy.removed.push_back(decode_removed(row));
     }
     return copy;
 }
@@ -136,15 +136,15 @@
     for (const auto& domain : copy.evacuated) {
         evacuated.push_back(domain.value);
     }
-    json gone = json::array();
-    for (const auto& entry : copy.gone) {
-        gone.push_back(json::array(
+    json removed = json::array();
+    for (const auto& entry : copy.removed) {
+        removed.push_back(json::array(
             {static_cast<std::size_t>(entry.kind), entry.name, entry.grace_left.count()}));
     }
     return json{{"at", to_json(copy.at)},          {"since", to_json(copy.since)},
                 {"names", std::move(names.names)}, {"targets", std::move(targets)},
                 {"hosts", std::move(hosts)},       {"evacuated", std::move(evacuated)},
-                {"gone", std::move(gone)}}
+                {"gone", std::move(removed)}}
         .dump();
 }
 
--- a/source/peer/inventory_copy.h
+++ b/source/peer/inventory_copy.h
@@ -27,7 +27,7 @@
     std::vector<registered_target> targets; ///< with their remaining warm-up time
     std::vector<host> hosts;
     std::vector<failure_domain_id> evacuated;
-    std::vector<removed_entry> gone;
+    std::vector<removed_entry> removed;
 };
 
 /// Encodes as JSON.
