--- a/source/peer/inventory_copy.h
+++ b/source/peer/inventory_copy.h
@@ -21,7 +21,7 @@
 };
 
 struct inventory_copy {
-    inventory_revisions at{};
+    inventory_revisions at{}; ///< the revision of each list that the copy reflects
     /// For each list, the revision since which the copy contains the changes; 0: the whole list.
     inventory_revisions since{};
     std::vector<registered_target> targets; ///< with their remaining warm-up time
