--- a/source/control/inventory_changes.h
+++ b/source/control/inventory_changes.h
@@ -9,7 +9,8 @@
 /// instead of whole lists.
 namespace almondquay {
 
-/// Older changes are dropped; peers that lack them are sent whole lists.
+/// Maximum number of logged changes. Older ones are dropped; peers that lack them are sent whole
+/// lists.
 constexpr std::size_t max_kept_changes = 4'096;
 
 /// Records that the entry `name` changed at revision `at`.
--- a/source/control/inventory_items.cpp
+++ b/source/control/inventory_items.cpp
@@ -10,7 +10,7 @@
 
 constexpr std::size_t max_unreadable_names = 1'000;
 
-/// Records an unreadable entry once, until it can be read again.
+/// Records an unreadable entry only once until it becomes readable again.
 void report_unreadable_entry(control_state& state, const event& e, inventory_kind kind,
                              const inventory_item& item, const unreadable_entry& entry,
                              effects& out)
--- a/source/control/inventory_sync.cpp
+++ b/source/control/inventory_sync.cpp
@@ -60,7 +60,7 @@
     }
     if (state.inventory.own_rank >= followers_per_region) {
         return std::chrono::milliseconds{
-            0}; // A standby that takes over needs a confirmation at once.
+            0}; // A standby that takes over needs a confirmation immediately.
     }
     if (kind == inventory_kind::hosts) {
         return longest_follow_wait;
@@ -190,7 +190,8 @@
     list.had_changes = true;
     list.at = list.read_at;
     list.confirmed = list.queried_at;
-    // A list does not show deletions, and changes after its first page are not known yet.
+    // A complete list does not contain the revisions of deletions, and changes made after its first
+    // page was read are not known yet.
     const auto changed = has_dropped ? list.at : std::min(list.read_changed, list.at);
     if (changed > list.changed) {
         list.changed = changed;
--- a/source/control/membership.cpp
+++ b/source/control/membership.cpp
@@ -31,7 +31,7 @@
 /// Size of a message without heartbeats: signature, header, time, generation, fingerprint and the
 /// IP and UDP headers.
 constexpr std::size_t bytes_per_message = 150;
-/// Size of a heartbeat without the host's name.
+/// Size of a heartbeat without the host id.
 constexpr std::size_t bytes_per_beat = 19;
 
 using domain_set = std::set<failure_domain_id>;
@@ -104,8 +104,8 @@
     std::vector<const member_entry*> near;
     std::vector<const member_entry*> far;
     for (const auto& entry : state.membership.members) {
-        // Deaths are gossiped for a while: other domains would detect them much later by
-        // themselves.
+        // Recent deaths are included because hosts of other domains would otherwise detect them
+        // much later.
         const bool is_applicable =
             entry.second.is_death_confirmed && now - entry.second.died < death_gossip_time;
         if (entry.second.alive || is_applicable) {
--- a/source/control/quarantine.cpp
+++ b/source/control/quarantine.cpp
@@ -71,8 +71,8 @@
     }
 }
 
-/// Whether another suspect was in flight at as many of the same crashes. Neither is quarantined
-/// then until a further crash distinguishes them.
+/// Whether another suspect was in flight at all crashes recorded for this one. If so, neither is
+/// quarantined until a further crash distinguishes them.
 bool is_ambiguous(const control_state& state, request_fingerprint fingerprint, const suspect& s)
 {
     return std::ranges::any_of(state.suspects, [&](const auto& entry) {
@@ -147,7 +147,7 @@
 {
     const auto fingerprint = evidence.what.fingerprint;
     if (!evidence.from_peer && !receives_all_evidence(state)) {
-        // Without the evidence of other hosts this one could identify the wrong request.
+        // This host does not receive the evidence of others and could identify the wrong request.
         if (state.fleet.configuration.targets.contains(evidence.what.target)) {
             forward_evidence(state, evidence.what, out);
         }
--- a/source/control/quarantine.h
+++ b/source/control/quarantine.h
@@ -20,7 +20,7 @@
 /// Evidence older than this no longer counts.
 constexpr std::chrono::minutes evidence_lifetime{5};
 constexpr std::chrono::minutes quarantine_time{10};
-/// Further suspects are not tracked.
+/// Maximum number of suspects that are tracked; further ones are ignored.
 constexpr std::size_t max_suspects = 1'000;
 
 /// In larger fleets crash evidence is sent only to the followers of the store.
--- a/source/control/snapshot_builder.cpp
+++ b/source/control/snapshot_builder.cpp
@@ -98,8 +98,9 @@
     }
 }
 
-/// Adds the targets of this host's failure domain to their services. The hosts that get
-/// one slot more than others continue from target to target, so the hosts' totals stay balanced.
+/// Adds the targets of this host's failure domain to their services. Slots that remain after even
+/// division are assigned round-robin across the targets of a service, so that the hosts' totals
+/// stay balanced.
 void add_targets(const control_state& state, const availability_view& world,
                  routing_snapshot& snapshot)
 {
--- a/source/control/state.h
+++ b/source/control/state.h
@@ -32,13 +32,13 @@
     std::vector<endpoint> seeds;
     almondquay::host registration{}; ///< this host's entry in the store
     std::map<failure_domain_id, region_id>
-        domains{};              ///< region of each domain, unless the text defines them
+        domains{};              ///< region of each domain, unless the configuration text defines it
     bool has_inventory = false; ///< the store lists targets and hosts
     decltype(store_protocol::parse_fleet) parse = nullptr; ///< parses the configuration's text
     shared_budgets budgets{};
     std::chrono::milliseconds max_propagation_delay{
         2'000};                              ///< time limit for a change to take effect everywhere
-    std::chrono::milliseconds stop_grace{0}; ///< from the stop signal to the end; 0: no limit
+    std::chrono::milliseconds stop_grace{0}; ///< time limit for a graceful stop; 0: no limit
 };
 
 struct member {
@@ -73,7 +73,7 @@
     monotonic_time last_tick{};
     wall_time last_wall_tick{};
     double gossip_credit = 0;       ///< token bucket level in bytes
-    std::uint64_t gossip_turns = 0; ///< messages sent; selects near or far receivers
+    std::uint64_t gossip_turns = 0; ///< number of messages sent; selects near or far receivers
     std::map<host_id, probed_host> probed;
     std::map<host_id, indirect_ping> indirect_pings;
     std::string last_change; ///< id of the decision that last changed the live hosts
@@ -102,26 +102,26 @@
 /// Synchronisation state of one list of the inventory.
 struct inventory_list {
     store_revision at;           ///< changes up to this revision have been read
-    store_revision changed;      ///< of the latest change in the list
+    store_revision changed;      ///< store revision of the latest change in the list
     monotonic_time confirmed{};  ///< when the current list was last known to be complete
     monotonic_time queried_at{}; ///< when changes or the first page of the list were queried
-    store_revision read_at;      ///< of the first page of the list being read
-    store_revision read_changed; ///< of the latest change on the pages read so far
-    bool is_complete = false;    ///< has been read completely, by this host or a peer
+    store_revision read_at;      ///< store revision of the first page of the list being read
+    store_revision read_changed; ///< store revision of the latest change on the pages read so far
+    bool is_complete = false;    ///< read completely from the store or copied from a peer
     bool had_changes = false;    ///< the last answer contained changes
     bool is_following = false;   ///< polls for changes instead of reading the whole list
     bool call_running = false;
-    std::uint64_t call = 0; ///< number of the latest query
+    std::uint64_t call = 0; ///< sequence number of the latest query
     unsigned failures = 0;  ///< consecutive
     monotonic_time next_call{};
     monotonic_time behind_since{}; ///< since when peers are known to be ahead
-    std::string page_after;        ///< last name of the previous page of the list being read
-    std::set<std::string> seen;    ///< names on the pages read so far
+    std::string page_after;     ///< last name on the previous page; the next page starts after it
+    std::set<std::string> seen; ///< names on the pages read so far
 };
 
 struct listed_target {
     registered_target entry;
-    monotonic_time cold_until{}; ///< until then it is sent requests at a limited rate
+    monotonic_time cold_until{}; ///< until then it is sent requests only at a limited rate
 };
 
 /// The name of a changed entry; the change itself is the current state of that entry.
@@ -134,21 +134,23 @@
 struct inventory_state {
     std::array<inventory_list, inventory_kinds> lists;
     std::deque<inventory_change> changes; ///< the latest ones, oldest first
-    inventory_revisions changes_since{};  ///< `changes` is complete after these revisions
+    inventory_revisions changes_since{};  ///< `changes` holds all changes after these revisions
     std::map<target_id, listed_target> targets;
     std::map<host_id, host> hosts;
     std::set<failure_domain_id> evacuated;
     std::map<target_id, monotonic_time>
-        missing;                        ///< when targets that are no longer listed are removed
+        missing; ///< targets that are no longer listed, and when they are removed
     std::set<std::string> unreadable;   ///< entries already logged as unreadable
-    monotonic_time last_failure{};      ///< of any call to the store
+    monotonic_time last_failure{};      ///< time of the last failed call to the store
     monotonic_time unreachable_since{}; ///< zero if the store answers or never answered
     monotonic_time reachable_since{};   ///< when the store became reachable again
     monotonic_time next_peer_query{};
     monotonic_time next_startup_query{};
-    bool repeats_announcement = false; ///< once, at the next tick, since datagrams get lost
-    std::string encoded_changes;       ///< the latest changes, encoded for announcements
-    std::size_t own_rank = 0;          ///< in its region, as of the latest tick
+    bool repeats_announcement =
+        false; ///< the announcement is sent again at the next tick, since datagrams may get lost
+    std::string encoded_changes; ///< the latest changes, encoded for announcements
+    std::size_t own_rank =
+        0; ///< rank of this host in its region at the latest tick; 0 is the first
     bool is_registered = false;
     bool registration_running = false;
     monotonic_time next_registration{};
@@ -210,7 +212,7 @@
     std::uint64_t decisions = 0;
     std::mt19937_64 random;
     bool snapshot_is_stale = false;
-    bool hosts_changed = false; ///< included in the snapshot from the next tick on
+    bool hosts_changed = false; ///< a new snapshot is built at the next tick
 };
 
 } // namespace almondquay
--- a/source/control/target_health.cpp
+++ b/source/control/target_health.cpp
@@ -48,7 +48,7 @@
     health.usable = true;
     health.failures = 0;
     state.snapshot_is_stale = true;
-    // It may have restarted in the meantime, and a restarted target is cold.
+    // The target may have restarted in the meantime, and a restarted target is cold.
     if (const auto listed = state.inventory.targets.find(id);
         listed != state.inventory.targets.end()) {
         const auto s =
--- a/source/control/target_health.h
+++ b/source/control/target_health.h
@@ -25,7 +25,7 @@
 /// Targets that are sent no requests: ejected ones that accept no connections, ejected ones that
 /// lose answers, and ones that recently refused a connection of this or another host of the region.
 /// If more than half of a service's targets fall into the latter two groups at once, the
-/// observation is considered wrong and these targets stay in use.
+/// observation is considered unreliable and these targets stay in use.
 std::set<target_id> dead_targets(const control_state& state);
 
 } // namespace almondquay
--- a/source/control/unreachable_targets.cpp
+++ b/source/control/unreachable_targets.cpp
@@ -51,8 +51,8 @@
 void handle_refused_connection(control_state& state, const event& e, const target_id& id,
                                effects& out)
 {
-    // Without an inventory each host has fixed shares of the targets of its domain and detects the
-    // failure soon by itself.
+    // Without an inventory each host has fixed shares of the targets of its domain and soon detects
+    // the failure by itself.
     if (state.self.has_inventory && exclude_target(state, e, id, state.self.host, out)) {
         state.unreported_unreachable.insert(id);
     }
--- a/source/control/unreachable_targets.h
+++ b/source/control/unreachable_targets.h
@@ -14,7 +14,7 @@
 
 /// How long a target is excluded after a refused connection.
 constexpr std::chrono::milliseconds unreachable_time{2'000};
-/// The rest of the targets are reported at the next tick.
+/// Further targets are reported at the next ticks.
 constexpr std::size_t max_unreachable_per_message = 16;
 
 /// Excludes a target that refused a connection of this host and schedules the report to others.
