--- a/unit_tests/control/crash_evidence_test.cpp
+++ b/unit_tests/control/crash_evidence_test.cpp
@@ -13,7 +13,7 @@
 using std::chrono::seconds;
 
 constexpr seconds warm_up{10};
-/// From the third crash on, no host that others can reach may forward the request any more.
+/// After the third crash, all reachable hosts must refuse the request within this time.
 constexpr seconds refused_within{3};
 constexpr request_fingerprint poison = 7;
 
--- a/unit_tests/control/fleet_world.h
+++ b/unit_tests/control/fleet_world.h
@@ -14,7 +14,7 @@
 
 enum class fleet_fault {
     none,
-    lost,              ///< the step's message or call is lost
+    lost,              ///< the message or call of this step is lost
     late,              ///< it arrives with a long delay
     twice,             ///< it arrives twice
     host_paused,       ///< the step's host is paused for a while
--- a/unit_tests/control/store_followers_test.cpp
+++ b/unit_tests/control/store_followers_test.cpp
@@ -151,7 +151,8 @@
         }
     }
 
-    /// Its lists are outdated, and its steady clock stopped while it was frozen.
+    /// The lists of a resumed follower are outdated, and its steady clock stopped while it was
+    /// frozen.
     void a_resumed_follower_reverts_no_changes()
     {
         auto world = make_world();
--- a/unit_tests/control/unreachable_targets_test.cpp
+++ b/unit_tests/control/unreachable_targets_test.cpp
@@ -14,7 +14,7 @@
 using std::chrono::seconds;
 
 constexpr seconds warm_up{10};
-/// Callers wait about this long for an answer; hosts that are told later detect the failure by
+/// Callers wait about this long for an answer; hosts that are notified later detect the failure by
 /// requests of their own.
 constexpr milliseconds known_within{500};
 const target_id dead("t1");
