--- a/source/control/state.h
+++ b/source/control/state.h
@@ -146,11 +146,9 @@
     monotonic_time reachable_since{};   ///< when the store became reachable again
     monotonic_time next_peer_query{};
     monotonic_time next_startup_query{};
-    bool repeats_announcement =
-        false; ///< the announcement is sent again at the next tick, since datagrams may get lost
-    std::string encoded_changes; ///< the latest changes, encoded for announcements
-    std::size_t own_rank =
-        0; ///< rank of this host in its region at the latest tick; 0 is the first
+    bool repeats_announcement = false; ///< at the next tick, since datagrams may get lost
+    std::string encoded_changes;       ///< the latest changes, encoded for announcements
+    std::size_t own_rank = 0;          ///< rank in the region at the latest tick; 0 is the first
     bool is_registered = false;
     bool registration_running = false;
     monotonic_time next_registration{};
