--- a/source/control/target_health.cpp
+++ b/source/control/target_health.cpp
@@ -107,7 +107,7 @@
     auto& health = found->second;
     health.probe_running = false;
     health.good_probes = probe.answered ? health.good_probes + 1 : 0;
-    if (!health.usable && health.good_probes >= probes_to_return) {
+    if (!health.usable && health.good_probes >= probes_to_readmit) {
         readmit(state, e, probe.target, health, out);
     }
 }
--- a/source/control/target_health.h
+++ b/source/control/target_health.h
@@ -11,7 +11,7 @@
 /// Consecutive failures after which a target is ejected.
 constexpr unsigned failures_to_eject = 3;
 /// Consecutive successful probes after which an ejected target is readmitted.
-constexpr unsigned probes_to_return = 2;
+constexpr unsigned probes_to_readmit = 2;
 constexpr std::chrono::milliseconds probe_interval{500};
 
 void handle_target_report(control_state& state, const event& e, const target_report_event& report,
