--- a/source/control/membership.cpp
+++ b/source/control/membership.cpp
@@ -169,11 +169,11 @@
     const auto earned = std::min(passed.count(), 1.0) * gossip_bytes_per_second;
     membership.gossip_credit = std::min(membership.gossip_credit + earned, max_gossip_credit);
     for (std::size_t sent = 0; sent < max_messages_per_tick; ++sent) {
-        const bool near = membership.gossip_turns % cross_domain_interval != 0;
+        const bool near = membership.gossip_messages_sent % cross_domain_interval != 0;
         if (!send_one(state, near_domains, near, out)) {
             return;
         }
-        ++membership.gossip_turns;
+        ++membership.gossip_messages_sent;
     }
 }
 
--- a/source/control/state.h
+++ b/source/control/state.h
@@ -72,8 +72,9 @@
     std::uint64_t own_beat = 0;
     monotonic_time last_tick{};
     wall_time last_wall_tick{};
-    double gossip_credit = 0;       ///< token bucket level in bytes
-    std::uint64_t gossip_turns = 0; ///< number of messages sent; selects near or far receivers
+    double gossip_credit = 0; ///< token bucket level in bytes
+    std::uint64_t gossip_messages_sent =
+        0; ///< number of messages sent; selects near or far receivers
     std::map<host_id, probed_host> probed;
     std::map<host_id, indirect_ping> indirect_pings;
     std::string last_change; ///< id of the decision that last changed the live hosts
