--- a/source/control/unreachable_targets.cpp
+++ b/source/control/unreachable_targets.cpp
@@ -9,7 +9,7 @@
 
 /// Excludes a target for `unreachable_time`. Returns whether it was not excluded before.
 bool exclude_target(control_state& state, const event& e, const target_id& id,
-                    const host_id& told_by, effects& out)
+                    const host_id& reporter, effects& out)
 {
     auto& health = state.targets[id];
     const bool is_new = health.unreachable_until == monotonic_time{};
@@ -24,7 +24,7 @@
             "time",
             "Target " + id.value + " refused a connection and is excluded.",
             {},
-            {{"target", id.value}, {"refused", told_by.value}}});
+            {{"target", id.value}, {"refused", reporter.value}}});
     return true;
 }
 
