--- a/source/control/unreachable_targets.cpp
+++ b/source/control/unreachable_targets.cpp
@@ -30,10 +30,10 @@
 
 void notify_region(control_state& state, effects& out)
 {
-    auto& news = state.unreported_unreachable;
+    auto& unreported = state.unreported_unreachable;
     auto message = make_message(state);
-    while (!news.empty() && message.unreachable.size() < max_unreachable_per_message) {
-        message.unreachable.push_back(std::move(news.extract(news.begin()).value()));
+    while (!unreported.empty() && message.unreachable.size() < max_unreachable_per_message) {
+        message.unreachable.push_back(std::move(unreported.extract(unreported.begin()).value()));
     }
     const auto home = region_of(state.fleet.configuration, state.self.domain);
     for (const auto& [id, h] : state.fleet.configuration.hosts) {
