--- a/source/control/probing.cpp
+++ b/source/control/probing.cpp
@@ -76,7 +76,7 @@
 }
 
 /// Drops the state of neighbours that are no longer pinged.
-void keep_only(std::map<host_id, probed_host>& probed, const std::set<host_id>& asked)
+void drop_unpinged(std::map<host_id, probed_host>& probed, const std::set<host_id>& asked)
 {
     std::erase_if(probed, [&](const auto& entry) { return !asked.contains(entry.first); });
 }
@@ -147,7 +147,7 @@
             break;
         }
     }
-    keep_only(membership.probed, asked);
+    drop_unpinged(membership.probed, asked);
     return dead;
 }
 
