--- a/source/control/probing.cpp
+++ b/source/control/probing.cpp
@@ -76,9 +76,9 @@
 }
 
 /// Drops the state of neighbours that are no longer pinged.
-void drop_unpinged(std::map<host_id, probed_host>& probed, const std::set<host_id>& asked)
+void drop_unpinged(std::map<host_id, probed_host>& probed, const std::set<host_id>& pinged)
 {
-    std::erase_if(probed, [&](const auto& entry) { return !asked.contains(entry.first); });
+    std::erase_if(probed, [&](const auto& entry) { return !pinged.contains(entry.first); });
 }
 
 void handle_indirect_ping_request(control_state& state, const event& e,
@@ -107,7 +107,7 @@
 {
     auto& membership = state.membership;
     std::vector<host_id> dead;
-    std::set<host_id> asked;
+    std::set<host_id> pinged;
     std::erase_if(membership.indirect_pings,
                   [&](const auto& entry) { return now >= entry.second.until; });
     if (!is_probed_domain(state)) {
@@ -116,10 +116,10 @@
     }
     const auto ring = neighbours(state);
     for (const auto* h : ring) {
-        if (asked.size() >= max_neighbours_pinged) {
+        if (pinged.size() >= max_neighbours_pinged) {
             break;
         }
-        asked.insert(h->id);
+        pinged.insert(h->id);
         auto& p = membership.probed[h->id];
         if (p.silent_since == monotonic_time{}) {
             p.silent_since = now;
@@ -147,7 +147,7 @@
             break;
         }
     }
-    drop_unpinged(membership.probed, asked);
+    drop_unpinged(membership.probed, pinged);
     return dead;
 }
 
