--- a/source/control/probing.cpp
+++ b/source/control/probing.cpp
@@ -173,13 +173,13 @@
             probed->second.suspected_at = {};
         }
     }
-    if (const auto about = membership.indirect_pings.find(message.from);
-        about != membership.indirect_pings.end() && !message.heartbeats.empty()) {
+    if (const auto pending = membership.indirect_pings.find(message.from);
+        pending != membership.indirect_pings.end() && !message.heartbeats.empty()) {
         auto told = make_message(state);
         told.heartbeats.push_back(message.heartbeats.front());
         told.heartbeats.back().direct = true;
-        out.emplace_back(send_gossip_effect{about->second.requester, std::move(told)});
-        membership.indirect_pings.erase(about);
+        out.emplace_back(send_gossip_effect{pending->second.requester, std::move(told)});
+        membership.indirect_pings.erase(pending);
     }
 }
 
