--- a/source/control/probing.cpp
+++ b/source/control/probing.cpp
@@ -175,10 +175,10 @@
     }
     if (const auto pending = membership.indirect_pings.find(message.from);
         pending != membership.indirect_pings.end() && !message.heartbeats.empty()) {
-        auto told = make_message(state);
-        told.heartbeats.push_back(message.heartbeats.front());
-        told.heartbeats.back().direct = true;
-        out.emplace_back(send_gossip_effect{pending->second.requester, std::move(told)});
+        auto reply = make_message(state);
+        reply.heartbeats.push_back(message.heartbeats.front());
+        reply.heartbeats.back().direct = true;
+        out.emplace_back(send_gossip_effect{pending->second.requester, std::move(reply)});
         membership.indirect_pings.erase(pending);
     }
 }
