--- a/source/control/membership.cpp
+++ b/source/control/membership.cpp
@@ -286,12 +286,12 @@
     m.is_death_confirmed = true;
     auto message = make_message(state);
     message.heartbeats.push_back({id, m.life, m.beat, m.leaving, true, m.starting});
-    std::map<failure_domain_id, std::size_t> told;
+    std::map<failure_domain_id, std::size_t> notified;
     for (const auto& [other, h] : state.fleet.configuration.hosts) {
         const bool is_enough =
-            h.domain != state.self.domain && told[h.domain] >= hosts_notified_per_other_domain;
+            h.domain != state.self.domain && notified[h.domain] >= hosts_notified_per_other_domain;
         if (other != state.self.host && other != id && !is_enough) {
-            ++told[h.domain];
+            ++notified[h.domain];
             out.emplace_back(send_gossip_effect{h.peers, message});
             out.emplace_back(
                 send_gossip_effect{h.peers, message}); // Sent twice, since datagrams get lost.
