--- a/source/control/membership.cpp
+++ b/source/control/membership.cpp
@@ -80,8 +80,8 @@
     return !m.alive && m.is_death_confirmed && now - m.died < urgent_death_time;
 }
 
-void add_some(control_state& state, std::vector<const member_entry*> entries, std::size_t most,
-              gossip_message& message)
+void add_random_heartbeats(control_state& state, std::vector<const member_entry*> entries,
+                           std::size_t most, gossip_message& message)
 {
     std::ranges::shuffle(entries, state.random);
     std::stable_partition(entries.begin(), entries.end(), [&](const member_entry* entry) {
@@ -112,12 +112,12 @@
             (is_near(state, near_domains, entry.first) ? near : far).push_back(&entry);
         }
     }
-    add_some(state, std::move(near), max_near_beats, message);
+    add_random_heartbeats(state, std::move(near), max_near_beats, message);
     if (to_near) {
         std::erase_if(
             far, [&](const member_entry* entry) { return !is_urgent_death(entry->second, now); });
     }
-    add_some(state, std::move(far), max_far_beats, message);
+    add_random_heartbeats(state, std::move(far), max_far_beats, message);
 }
 
 std::vector<endpoint> gossip_peers(const control_state& state, const domain_set& near_domains,
