--- a/source/control/membership.cpp
+++ b/source/control/membership.cpp
@@ -81,13 +81,13 @@
 }
 
 void add_random_heartbeats(control_state& state, std::vector<const member_entry*> entries,
-                           std::size_t most, gossip_message& message)
+                           std::size_t max_heartbeats, gossip_message& message)
 {
     std::ranges::shuffle(entries, state.random);
     std::stable_partition(entries.begin(), entries.end(), [&](const member_entry* entry) {
         return is_urgent_death(entry->second, state.now);
     });
-    entries.resize(std::min(entries.size(), most));
+    entries.resize(std::min(entries.size(), max_heartbeats));
     for (const auto* entry : entries) {
         const auto& [id, m] = *entry;
         message.heartbeats.push_back({id, m.life, m.beat, m.leaving, !m.alive, m.starting});
