--- a/source/control/membership.cpp
+++ b/source/control/membership.cpp
@@ -321,10 +321,10 @@
     // With an inventory, callers are sent to hosts as soon as these are alive, so a host that does
     // not serve yet announces that. Without one, a host counts as live from its first heartbeat,
     // since claims depend on the set of live hosts.
-    const bool is_early = state.self.has_inventory && state.stage == life_stage::starting;
+    const bool is_starting = state.self.has_inventory && state.stage == life_stage::starting;
     const bool leaving = state.stage == life_stage::leaving || state.stage == life_stage::ending;
     message.heartbeats.push_back(
-        {state.self.host, state.self.life, state.membership.own_beat, leaving, false, is_early});
+        {state.self.host, state.self.life, state.membership.own_beat, leaving, false, is_starting});
     return message;
 }
 
