--- a/source/control/membership.cpp
+++ b/source/control/membership.cpp
@@ -106,9 +106,9 @@
     for (const auto& entry : state.membership.members) {
         // Recent deaths are included because hosts of other domains would otherwise detect them
         // much later.
-        const bool is_applicable =
+        const bool is_recent_death =
             entry.second.is_death_confirmed && now - entry.second.died < death_gossip_time;
-        if (entry.second.alive || is_applicable) {
+        if (entry.second.alive || is_recent_death) {
             (is_near(state, near_domains, entry.first) ? near : far).push_back(&entry);
         }
     }
