--- a/source/control/claim_bridge.cpp
+++ b/source/control/claim_bridge.cpp
@@ -31,17 +31,17 @@
 
 void update_claim_view(control_state& state)
 {
-    claim_membership world{state.self.host, state.self.life, {}, {}};
-    world.alive[state.self.host] = state.self.life;
+    claim_membership view{state.self.host, state.self.life, {}, {}};
+    view.alive[state.self.host] = state.self.life;
     for (const auto& [id, m] : state.membership.members) {
         if (m.alive) {
-            world.alive[id] = m.life;
+            view.alive[id] = m.life;
         }
     }
     for (const auto& id : live_hosts(state)) {
-        world.owners[id] = world.alive[id];
+        view.owners[id] = view.alive[id];
     }
-    state.claim_view = std::move(world);
+    state.claim_view = std::move(view);
 }
 
 } // namespace almondquay
