--- a/source/control/snapshot_builder.cpp
+++ b/source/control/snapshot_builder.cpp
@@ -14,13 +14,13 @@
 
 availability_view view_of(const control_state& state)
 {
-    availability_view world;
-    world.live_hosts = live_hosts(state);
-    world.dead_targets = dead_targets(state);
+    availability_view view;
+    view.live_hosts = live_hosts(state);
+    view.dead_targets = dead_targets(state);
     if (state.fleet.envelope) {
-        world.drains = state.fleet.envelope->drains;
+        view.drains = state.fleet.envelope->drains;
     }
-    return world;
+    return view;
 }
 
 /// The position of this host among all configured hosts of its failure domain, dead or alive.
@@ -36,7 +36,7 @@
     return {static_cast<std::size_t>(found - all.begin()), all.size()};
 }
 
-target_route make_route(const control_state& state, const availability_view& world,
+target_route make_route(const control_state& state, const availability_view& view,
                         const host_position& place, std::size_t first, const target& t)
 {
     target_route route;
@@ -45,13 +45,13 @@
     route.slots = share_of(t.slots.value, first, place.position, place.hosts);
     route.connections = share_of(t.connections, first, place.position, place.hosts);
     route.sheds_unrun = t.sheds_unrun;
-    route.usable = !world.dead_targets.contains(t.id) &&
-                   !is_drained(state.fleet.configuration, world.drains, t);
+    route.usable =
+        !view.dead_targets.contains(t.id) && !is_drained(state.fleet.configuration, view.drains, t);
     return route;
 }
 
 /// Every host may use every registered target; their load is balanced per request.
-void add_shared_targets(const control_state& state, const availability_view& world,
+void add_shared_targets(const control_state& state, const availability_view& view,
                         routing_snapshot& snapshot)
 {
     const auto& configuration = state.fleet.configuration;
@@ -70,7 +70,7 @@
         if (route.cold_until > state.now) {
             route.cold_per_second = cold_share(state, t);
         }
-        route.usable = !t.leaving && !world.dead_targets.contains(id) &&
+        route.usable = !t.leaving && !view.dead_targets.contains(id) &&
                        !state.inventory.evacuated.contains(t.domain);
         auto& of_service = snapshot.services[t.serves.value];
         of_service.are_targets_shared = true;
@@ -79,13 +79,13 @@
 }
 
 /// Callers of a region are given its live hosts, or all live hosts if the region has none.
-void add_entry_hosts(const control_state& state, const availability_view& world,
+void add_entry_hosts(const control_state& state, const availability_view& view,
                      routing_snapshot& snapshot)
 {
     const auto& configuration = state.fleet.configuration;
     std::vector<endpoint> all;
     for (const auto& [id, h] : configuration.hosts) {
-        if (world.live_hosts.contains(id)) {
+        if (view.live_hosts.contains(id)) {
             snapshot.entry_hosts[region_of(configuration, h.domain)].push_back(h.callers);
             all.push_back(h.callers);
         }
@@ -101,7 +101,7 @@
 /// Adds the targets of this host's failure domain to their services. Slots that remain after even
 /// division are assigned round-robin across the targets of a service, so that the hosts' totals
 /// stay balanced.
-void add_targets(const control_state& state, const availability_view& world,
+void add_targets(const control_state& state, const availability_view& view,
                  routing_snapshot& snapshot)
 {
     const auto place = position_of(state);
@@ -109,7 +109,7 @@
     for (const auto& [id, t] : state.fleet.configuration.targets) {
         if (t.domain == state.self.domain) {
             snapshot.services[t.serves.value].targets.push_back(
-                make_route(state, world, place, first[t.serves], t));
+                make_route(state, view, place, first[t.serves], t));
             first[t.serves] += t.slots.value;
         }
     }
@@ -172,8 +172,8 @@
         return snapshot;
     }
     snapshot->in_force = state.fleet.envelope->number;
-    const auto world = view_of(state);
-    const auto places = make_capacity_index(state.fleet.configuration, world);
+    const auto view = view_of(state);
+    const auto places = make_capacity_index(state.fleet.configuration, view);
     for (const auto& [id, s] : state.fleet.configuration.services) {
         if (state.self.has_inventory) {
             snapshot->services[id.value].definition = s;
@@ -188,11 +188,11 @@
         snapshot->regions.emplace(id, d.in_region);
     }
     if (state.self.has_inventory) {
-        add_shared_targets(state, world, *snapshot);
-        add_entry_hosts(state, world, *snapshot);
+        add_shared_targets(state, view, *snapshot);
+        add_entry_hosts(state, view, *snapshot);
         return snapshot;
     }
-    add_targets(state, world, *snapshot);
+    add_targets(state, view, *snapshot);
     for (const auto& g : state.fleet.configuration.grants) {
         if (g.from == state.self.domain) {
             add_spill(state, places, g, *snapshot);
