--- a/source/control/snapshot_builder.cpp
+++ b/source/control/snapshot_builder.cpp
@@ -117,14 +117,14 @@
 
 /// Shares of grants, like those of slots, depend on the configuration alone: whichever hosts are
 /// dead or partitioned, all hosts together never exceed the grant.
-void add_spill(const control_state& state, const capacity_index& places, const grant& g,
+void add_spill(const control_state& state, const capacity_index& capacity, const grant& g,
                routing_snapshot& snapshot)
 {
     constexpr double bits_per_byte = 8;
     constexpr double bits_per_megabit = 1e6;
     const auto place = position_of(state);
     const auto receivers = hosts_of(state.fleet.configuration, g.to);
-    const auto live = places.hosts.find(g.to);
+    const auto live = capacity.hosts.find(g.to);
     const target_id name("spill/" + g.to.value + "/" + g.of_service.value);
     const auto own = share_of(g.in_flight, hashed_position(name), place.position, place.hosts);
     for (std::size_t i = 0; i < receivers.size(); ++i) {
@@ -136,21 +136,21 @@
         const auto paths = static_cast<double>(place.hosts * receivers.size());
         const auto rate = g.rate.value * bits_per_megabit / bits_per_byte / paths;
         route.bytes_per_second = route.slots == 0 ? 0 : rate / route.slots;
-        const bool is_live = live != places.hosts.end() &&
+        const bool is_live = live != capacity.hosts.end() &&
                              std::ranges::find(live->second, receivers[i]) != live->second.end();
         route.usable = is_live && route.bytes_per_second > 0 &&
-                       usable_slots(state.fleet.configuration, places, g.to, g.of_service) > 0;
+                       usable_slots(state.fleet.configuration, capacity, g.to, g.of_service) > 0;
         snapshot.services[g.of_service.value].targets.push_back(std::move(route));
     }
 }
 
-void add_answers(const control_state& state, const capacity_index& places, const service& s,
+void add_answers(const control_state& state, const capacity_index& capacity, const service& s,
                  service_routes& routes)
 {
     const auto& configuration = state.fleet.configuration;
     routes.definition = s;
     for (const auto& [id, r] : configuration.regions) {
-        const auto choices = choose_hosts(configuration, places, s.id, id);
+        const auto choices = choose_hosts(configuration, capacity, s.id, id);
         routes.lookup_answers[id] =
             lookup_answer(configuration, s.id, state.fleet.envelope->number, choices);
     }
@@ -173,12 +173,12 @@
     }
     snapshot->in_force = state.fleet.envelope->number;
     const auto view = view_of(state);
-    const auto places = make_capacity_index(state.fleet.configuration, view);
+    const auto capacity = make_capacity_index(state.fleet.configuration, view);
     for (const auto& [id, s] : state.fleet.configuration.services) {
         if (state.self.has_inventory) {
             snapshot->services[id.value].definition = s;
         } else {
-            add_answers(state, places, s, snapshot->services[id.value]);
+            add_answers(state, capacity, s, snapshot->services[id.value]);
         }
     }
     snapshot->routes = state.fleet.routes;
@@ -195,7 +195,7 @@
     add_targets(state, view, *snapshot);
     for (const auto& g : state.fleet.configuration.grants) {
         if (g.from == state.self.domain) {
-            add_spill(state, places, g, *snapshot);
+            add_spill(state, capacity, g, *snapshot);
         }
     }
     return snapshot;
