--- a/source/control/snapshot_builder.cpp
+++ b/source/control/snapshot_builder.cpp
@@ -37,13 +37,13 @@
 }
 
 target_route make_route(const control_state& state, const availability_view& view,
-                        const host_position& place, std::size_t first, const target& t)
+                        const host_position& own_position, std::size_t first, const target& t)
 {
     target_route route;
     route.id = t.id;
     route.address = t.address;
-    route.slots = share_of(t.slots.value, first, place.position, place.hosts);
-    route.connections = share_of(t.connections, first, place.position, place.hosts);
+    route.slots = share_of(t.slots.value, first, own_position.position, own_position.hosts);
+    route.connections = share_of(t.connections, first, own_position.position, own_position.hosts);
     route.sheds_unrun = t.sheds_unrun;
     route.usable =
         !view.dead_targets.contains(t.id) && !is_drained(state.fleet.configuration, view.drains, t);
@@ -104,12 +104,12 @@
 void add_targets(const control_state& state, const availability_view& view,
                  routing_snapshot& snapshot)
 {
-    const auto place = position_of(state);
+    const auto own_position = position_of(state);
     std::map<service_id, std::size_t> first;
     for (const auto& [id, t] : state.fleet.configuration.targets) {
         if (t.domain == state.self.domain) {
             snapshot.services[t.serves.value].targets.push_back(
-                make_route(state, view, place, first[t.serves], t));
+                make_route(state, view, own_position, first[t.serves], t));
             first[t.serves] += t.slots.value;
         }
     }
@@ -122,18 +122,19 @@
 {
     constexpr double bits_per_byte = 8;
     constexpr double bits_per_megabit = 1e6;
-    const auto place = position_of(state);
+    const auto own_position = position_of(state);
     const auto receivers = hosts_of(state.fleet.configuration, g.to);
     const auto live = capacity.hosts.find(g.to);
     const target_id name("spill/" + g.to.value + "/" + g.of_service.value);
-    const auto own = share_of(g.in_flight, hashed_position(name), place.position, place.hosts);
+    const auto own =
+        share_of(g.in_flight, hashed_position(name), own_position.position, own_position.hosts);
     for (std::size_t i = 0; i < receivers.size(); ++i) {
         target_route route;
         route.id.value = name.value + "/" + receivers[i]->id.value;
         route.address = receivers[i]->callers;
         route.slots = share_of(own, hashed_position(name), i, receivers.size());
         route.is_spill = true;
-        const auto paths = static_cast<double>(place.hosts * receivers.size());
+        const auto paths = static_cast<double>(own_position.hosts * receivers.size());
         const auto rate = g.rate.value * bits_per_megabit / bits_per_byte / paths;
         route.bytes_per_second = route.slots == 0 ? 0 : rate / route.slots;
         const bool is_live = live != capacity.hosts.end() &&
