--- a/source/control/claim_bridge.cpp
+++ b/source/control/claim_bridge.cpp
@@ -23,8 +23,8 @@
 
 void handle_claim_event(control_state& state, const event& e, const claim_event& body, effects& out)
 {
-    auto todo = reduce_claims(state.claims, state.claim_view, body, e.now, e.wall);
-    for (auto& one : todo) {
+    auto claim_results = reduce_claims(state.claims, state.claim_view, body, e.now, e.wall);
+    for (auto& one : claim_results) {
         std::visit([&](auto& effect) { translate(state, std::move(effect), out); }, one);
     }
 }
