--- a/source/almondquayd/interpreter.cpp
+++ b/source/almondquayd/interpreter.cpp
@@ -56,13 +56,13 @@
 void run(interpreter& i, const query_inventory_effect& e)
 {
     log::write(log::level::debug, "ask_store",
-               {{"list", std::string(name_of(e.question.kind))},
-                {"since", std::to_string(e.question.since.value)},
-                {"follow", e.question.follow ? "yes" : "no"},
-                {"wait_ms", std::to_string(e.question.wait.count())}});
-    i.store->query_inventory(e.question,
-                             [emit = i.emit, question = e.question](result<inventory_page> page) {
-                                 emit(inventory_read_event{question, std::move(page)});
+               {{"list", std::string(name_of(e.query.kind))},
+                {"since", std::to_string(e.query.since.value)},
+                {"follow", e.query.follow ? "yes" : "no"},
+                {"wait_ms", std::to_string(e.query.wait.count())}});
+    i.store->query_inventory(e.query,
+                             [emit = i.emit, query = e.query](result<inventory_page> page) {
+                                 emit(inventory_read_event{query, std::move(page)});
                              });
 }
 
--- a/source/control/effect.h
+++ b/source/control/effect.h
@@ -41,7 +41,7 @@
 
 /// Queries the store's inventory. Completes with an inventory_read_event.
 struct query_inventory_effect {
-    inventory_query question;
+    inventory_query query;
 };
 
 /// Registers this host in the store. Completes with a host_registered_event.
--- a/source/control/event.h
+++ b/source/control/event.h
@@ -39,7 +39,7 @@
 
 /// A query of the store's inventory completed.
 struct inventory_read_event {
-    inventory_query question;
+    inventory_query query;
     result<inventory_page> page;
 };
 
--- a/source/control/inventory_sync.cpp
+++ b/source/control/inventory_sync.cpp
@@ -80,17 +80,17 @@
     auto& list = list_of(state.inventory, kind);
     list.call_running = true;
     list.behind_since = {};
-    inventory_query question;
-    question.kind = kind;
-    question.follow = list.is_following;
-    question.after = list.page_after;
-    question.since = list.at;
-    question.wait = list.is_following ? follow_wait(state, kind) : std::chrono::milliseconds{0};
-    question.number = ++list.call;
+    inventory_query query;
+    query.kind = kind;
+    query.follow = list.is_following;
+    query.after = list.page_after;
+    query.since = list.at;
+    query.wait = list.is_following ? follow_wait(state, kind) : std::chrono::milliseconds{0};
+    query.number = ++list.call;
     if (list.page_after.empty()) {
         list.queried_at = state.now;
     }
-    out.emplace_back(query_inventory_effect{std::move(question)});
+    out.emplace_back(query_inventory_effect{std::move(query)});
 }
 
 void update_store_reachability(control_state& state, const event& e, bool answers,
@@ -164,12 +164,12 @@
 
 /// Applies a page of a list that is being read completely. The list's revision changes only with
 /// its last page: until then neither this host nor a peer may rely on the list.
-void apply_list_page(control_state& state, const event& e, const inventory_query& question,
+void apply_list_page(control_state& state, const event& e, const inventory_query& query,
                      const inventory_page& page, effects& out)
 {
-    auto& list = list_of(state.inventory, question.kind);
+    auto& list = list_of(state.inventory, query.kind);
     list.next_call = e.now;
-    if (question.after.empty()) {
+    if (query.after.empty()) {
         list.read_at = page.at; // Changes made while the pages are read are read again.
         list.read_changed = {};
         list.seen.clear();
@@ -182,7 +182,7 @@
         list.page_after = page.items.back().name;
         return;
     }
-    const bool has_dropped = remove_unlisted(state, e, question.kind, list.seen, out);
+    const bool has_dropped = remove_unlisted(state, e, query.kind, list.seen, out);
     list.seen.clear();
     list.page_after.clear();
     list.is_complete = true;
@@ -195,49 +195,49 @@
     const auto changed = has_dropped ? list.at : std::min(list.read_changed, list.at);
     if (changed > list.changed) {
         list.changed = changed;
-        record_list_replacement(state.inventory, question.kind, list.changed);
+        record_list_replacement(state.inventory, query.kind, list.changed);
     }
     list.changed = std::max(list.changed, empty_list_revision);
     announce(state, out); // Peers may have missed the same changes without noticing.
     state.inventory.repeats_announcement = true;
 }
 
-void apply_changes(control_state& state, const event& e, const inventory_query& question,
+void apply_changes(control_state& state, const event& e, const inventory_query& query,
                    const inventory_page& page, effects& out)
 {
-    auto& list = list_of(state.inventory, question.kind);
+    auto& list = list_of(state.inventory, query.kind);
     const bool has_changes = !page.items.empty();
     const auto before = list.changed;
     list.changed = std::max(list.changed, latest_change(page));
     list.at = page.at;
     list.confirmed = e.now;
     list.had_changes = has_changes;
-    list.next_call = has_changes ? e.now + pause_after(question.kind) : e.now;
+    list.next_call = has_changes ? e.now + pause_after(query.kind) : e.now;
     for (const auto& item : page.items) {
-        record_change(state.inventory, question.kind, list.changed, item.name);
+        record_change(state.inventory, query.kind, list.changed, item.name);
     }
     if (has_changes) {
-        state.inventory.encoded_changes = question.kind == inventory_kind::configuration
+        state.inventory.encoded_changes = query.kind == inventory_kind::configuration
                                               ? std::string()
-                                              : encode_changes(state, question.kind, before);
+                                              : encode_changes(state, query.kind, before);
         announce(state, out);
         state.inventory.repeats_announcement = true;
-    } else if (question.kind == inventory_kind::configuration ||
-               question.kind == inventory_kind::targets) {
+    } else if (query.kind == inventory_kind::configuration ||
+               query.kind == inventory_kind::targets) {
         send_state(state, standby_followers(state, e.now), out);
     }
 }
 
-void apply_page(control_state& state, const event& e, const inventory_query& question,
+void apply_page(control_state& state, const event& e, const inventory_query& query,
                 const inventory_page& page, effects& out)
 {
     for (const auto& item : page.items) {
-        apply_item(state, e, question.kind, item, out);
+        apply_item(state, e, query.kind, item, out);
     }
-    if (question.follow) {
-        apply_changes(state, e, question, page, out);
+    if (query.follow) {
+        apply_changes(state, e, query, page, out);
     } else {
-        apply_list_page(state, e, question, page, out);
+        apply_list_page(state, e, query, page, out);
     }
 }
 
@@ -304,22 +304,22 @@
 void handle_inventory_page(control_state& state, const event& e, const inventory_read_event& read,
                            effects& out)
 {
-    auto& list = list_of(state.inventory, read.question.kind);
-    if (read.question.number != list.call || !list.call_running) {
+    auto& list = list_of(state.inventory, read.query.kind);
+    if (read.query.number != list.call || !list.call_running) {
         return; // Superseded by a peer's copy or by a later query.
     }
     list.call_running = false;
     if (succeeded(read.page)) {
         list.failures = 0;
         update_store_reachability(state, e, true, "", out);
-        apply_page(state, e, read.question, value_of(read.page), out);
+        apply_page(state, e, read.query, value_of(read.page), out);
     } else {
         handle_failure(state, e, list, error_of(read.page), out);
     }
     state.fleet.platform_answered = true;
     const bool is_due = !list.call_running && e.now >= list.next_call;
-    if (is_due && may_query_store(state, read.question.kind, e.now)) {
-        query_list(state, read.question.kind, out);
+    if (is_due && may_query_store(state, read.query.kind, e.now)) {
+        query_list(state, read.query.kind, out);
     }
     start_serving_if_ready(state, e, out);
 }
--- a/unit_tests/control/inventory_test.cpp
+++ b/unit_tests/control/inventory_test.cpp
@@ -89,13 +89,13 @@
 inventory_query question_of(const control_state& state, inventory_kind kind)
 {
     const auto& list = state.inventory.lists.at(static_cast<std::size_t>(kind));
-    inventory_query question;
-    question.kind = kind;
-    question.follow = list.is_following;
-    question.after = list.page_after;
-    question.since = list.at;
-    question.number = list.call;
-    return question;
+    inventory_query query;
+    query.kind = kind;
+    query.follow = list.is_following;
+    query.after = list.page_after;
+    query.since = list.at;
+    query.number = list.call;
+    return query;
 }
 
 effects answer(control_state& state, milliseconds now, inventory_kind kind,
@@ -366,9 +366,9 @@
         }
         const auto asked = answer(state, milliseconds(200), inventory_kind::evacuations, {}, 10);
         for (const auto& e : asked) {
-            if (const auto* question = std::get_if<query_inventory_effect>(&e)) {
-                CPPUNIT_ASSERT(question->question.wait >= seconds(1));
-                CPPUNIT_ASSERT(question->question.wait / followers_per_region <
+            if (const auto* query = std::get_if<query_inventory_effect>(&e)) {
+                CPPUNIT_ASSERT(query->query.wait >= seconds(1));
+                CPPUNIT_ASSERT(query->query.wait / followers_per_region <
                                milliseconds(2'000) - takeover_margin);
             }
         }
@@ -392,8 +392,8 @@
         for (const auto kind : {inventory_kind::targets, inventory_kind::configuration}) {
             const auto asked = answer(state, milliseconds(200), kind, {}, 10);
             for (const auto& e : asked) {
-                if (const auto* question = std::get_if<query_inventory_effect>(&e)) {
-                    CPPUNIT_ASSERT(question->question.wait + call_timeout <
+                if (const auto* query = std::get_if<query_inventory_effect>(&e)) {
+                    CPPUNIT_ASSERT(query->query.wait + call_timeout <
                                    in_touch_after_outage + drain_time);
                 }
             }
@@ -511,8 +511,8 @@
         for (auto now = milliseconds(2'250); now <= seconds(5); now += tick_interval) {
             for (const auto& e : reduce(state, at(now, tick_event{}))) {
                 const auto* asked = std::get_if<query_inventory_effect>(&e);
-                if (asked != nullptr && asked->question.kind == inventory_kind::targets) {
-                    CPPUNIT_ASSERT(asked->question.wait == milliseconds(0));
+                if (asked != nullptr && asked->query.kind == inventory_kind::targets) {
+                    CPPUNIT_ASSERT(asked->query.wait == milliseconds(0));
                     return;
                 }
             }
--- a/unit_tests/control/store_world.cpp
+++ b/unit_tests/control/store_world.cpp
@@ -189,7 +189,7 @@
         } else if (const auto* evidence = std::get_if<share_evidence_effect>(&e)) {
             share(id, *evidence);
         } else if (const auto* asked = std::get_if<query_inventory_effect>(&e)) {
-            ask(id, asked->question);
+            ask(id, asked->query);
         } else if (const auto* copy = std::get_if<fetch_inventory_effect>(&e)) {
             const auto answer = [this, have = copy->have](const control_state& state) {
                 const auto text = encode(copy_of(state, have, steady_time(state.self.host)));
@@ -259,16 +259,16 @@
     });
 }
 
-void store_world::ask(const host_id& id, const inventory_query& question)
+void store_world::ask(const host_id& id, const inventory_query& query)
 {
     ++hosts_.at(id)->calls;
     const auto life = hosts_.at(id)->life;
-    auto waiting = std::make_shared<waiting_question>(waiting_question{id, life, question});
-    after(question.wait + call_timeout, [this, waiting] {
+    auto waiting = std::make_shared<waiting_question>(waiting_question{id, life, query});
+    after(query.wait + call_timeout, [this, waiting] {
         if (!waiting->is_over) {
             waiting->is_over = true;
             give(waiting->asker, waiting->life,
-                 inventory_read_event{waiting->question,
+                 inventory_read_event{waiting->query,
                                       error{result_code::platform_answer_lost, "no answer"}});
         }
     });
@@ -276,11 +276,10 @@
         return;
     }
     waiting_.push_back(waiting);
-    const bool has_news = std::ranges::any_of(history_, [&](const change& c) {
-        return c.kind == question.kind && c.at > question.since;
-    });
-    const bool waits = question.follow && !has_news;
-    after(waits ? question.wait : store_delay, [this, waiting] { answer(*waiting); });
+    const bool has_news = std::ranges::any_of(
+        history_, [&](const change& c) { return c.kind == query.kind && c.at > query.since; });
+    const bool waits = query.follow && !has_news;
+    after(waits ? query.wait : store_delay, [this, waiting] { answer(*waiting); });
 }
 
 void store_world::answer(const waiting_question& waiting)
@@ -288,14 +287,14 @@
     if (waiting.is_over || !reaches_store(waiting.asker)) {
         return;
     }
-    const auto& question = waiting.question;
-    const auto& known = objects_.at(index_of(question.kind));
+    const auto& query = waiting.query;
+    const auto& known = objects_.at(index_of(query.kind));
     inventory_page page;
     page.at = revision_;
-    if (question.follow) {
+    if (query.follow) {
         std::set<std::string> names;
         for (const auto& c : history_) {
-            if (c.kind == question.kind && c.at > question.since && names.insert(c.name).second) {
+            if (c.kind == query.kind && c.at > query.since && names.insert(c.name).second) {
                 const auto found = known.find(c.name);
                 page.items.push_back(found == known.end()
                                          ? inventory_item{c.name, deleted_entry{}, revision_}
@@ -303,14 +302,14 @@
             }
         }
     } else {
-        auto next = known.upper_bound(question.after);
+        auto next = known.upper_bound(query.after);
         for (; next != known.end() && page.items.size() < page_size; ++next) {
             page.items.push_back(next->second);
         }
         page.has_more = next != known.end();
     }
     const_cast<waiting_question&>(waiting).is_over = true;
-    give(waiting.asker, waiting.life, inventory_read_event{question, page});
+    give(waiting.asker, waiting.life, inventory_read_event{query, page});
 }
 
 store_revision store_world::note(inventory_kind kind, const std::string& name,
@@ -327,7 +326,7 @@
     history_.push_back({revision_, kind, name});
     std::erase_if(waiting_, [](const auto& w) { return w->is_over; });
     for (const auto& w : waiting_) {
-        if (w->question.follow && w->question.kind == kind) {
+        if (w->query.follow && w->query.kind == kind) {
             after(store_delay, [this, w] { answer(*w); });
         }
     }
