--- a/source/control/event.h
+++ b/source/control/event.h
@@ -75,7 +75,7 @@
 
 /// A target crashed while this request was in flight; observed by this host or reported by a peer.
 struct crash_evidence_event {
-    crash_evidence what;
+    crash_evidence crash;
     bool from_peer = false;
 };
 
--- a/source/control/quarantine.cpp
+++ b/source/control/quarantine.cpp
@@ -145,25 +145,25 @@
 void handle_crash_evidence(control_state& state, const event& e,
                            const crash_evidence_event& evidence, effects& out)
 {
-    const auto fingerprint = evidence.what.fingerprint;
+    const auto fingerprint = evidence.crash.fingerprint;
     if (!evidence.from_peer && !receives_all_evidence(state)) {
         // This host does not receive the evidence of others and could identify the wrong request.
-        if (state.fleet.configuration.targets.contains(evidence.what.target)) {
-            forward_evidence(state, evidence.what, out);
+        if (state.fleet.configuration.targets.contains(evidence.crash.target)) {
+            forward_evidence(state, evidence.crash, out);
         }
         return;
     }
     const bool has_room =
         state.suspects.size() < max_suspects || state.suspects.contains(fingerprint);
-    if (!state.fleet.configuration.targets.contains(evidence.what.target) || !has_room) {
+    if (!state.fleet.configuration.targets.contains(evidence.crash.target) || !has_room) {
         return;
     }
     auto& s = state.suspects[fingerprint];
-    s.description = evidence.what.description;
+    s.description = evidence.crash.description;
     s.latest = e.now;
-    const bool is_new = s.targets.insert(evidence.what.target).second;
+    const bool is_new = s.targets.insert(evidence.crash.target).second;
     if (is_new && !evidence.from_peer) {
-        forward_evidence(state, evidence.what, out);
+        forward_evidence(state, evidence.crash, out);
     }
 }
 
