--- a/source/control/peer_inventory.cpp
+++ b/source/control/peer_inventory.cpp
@@ -113,7 +113,7 @@
     }
 }
 
-std::set<std::string> named(const inventory_copy& copy, inventory_kind kind)
+std::set<std::string> entry_names(const inventory_copy& copy, inventory_kind kind)
 {
     std::set<std::string> names;
     if (kind == inventory_kind::targets) {
@@ -138,7 +138,7 @@
     const auto i = static_cast<std::size_t>(kind);
     const bool is_whole = copy.since.at(i).value == 0;
     apply_entries(state, e, kind, copy, out);
-    auto names = named(copy, kind);
+    auto names = entry_names(copy, kind);
     if (is_whole) {
         for (const auto& name : all_names(state.inventory, kind)) {
             if (!names.contains(name)) {
