--- a/source/control/inventory_items.cpp
+++ b/source/control/inventory_items.cpp
@@ -236,13 +236,13 @@
 
 void remove_expired_targets(control_state& state, const event& e, effects& out)
 {
-    std::vector<target_id> over;
+    std::vector<target_id> expired;
     for (const auto& [id, at] : state.inventory.missing) {
         if (e.now >= at) {
-            over.push_back(id);
+            expired.push_back(id);
         }
     }
-    for (const auto& id : over) {
+    for (const auto& id : expired) {
         remove_target(state, e, id, "it did not register again after an outage", out);
     }
 }
--- a/source/control/quarantine.cpp
+++ b/source/control/quarantine.cpp
@@ -189,13 +189,13 @@
             quarantine(state, e, fingerprint, s, out);
         }
     }
-    std::vector<request_fingerprint> over;
+    std::vector<request_fingerprint> expired;
     for (const auto& [fingerprint, q] : state.quarantined) {
         if (e.now >= q.until) {
-            over.push_back(fingerprint);
+            expired.push_back(fingerprint);
         }
     }
-    for (const auto fingerprint : over) {
+    for (const auto fingerprint : expired) {
         end_quarantine(state, e, fingerprint, "a quarantine ends after a fixed time", out);
     }
 }
