--- a/source/control/inventory_sync.cpp
+++ b/source/control/inventory_sync.cpp
@@ -21,7 +21,7 @@
 constexpr std::chrono::milliseconds longest_backoff{1'500};
 constexpr unsigned max_doublings = 4;
 /// Hosts silent for this long are deleted from the store by the first follower of a region.
-constexpr std::chrono::minutes long_dead{2};
+constexpr std::chrono::minutes dead_host_retention{2};
 /// The revision of a list that never had an entry; 0 would mean that the list is not known.
 const store_revision empty_list_revision{1};
 /// Targets and hosts often change many at a time. A delay before the next query batches their
@@ -259,7 +259,8 @@
         return;
     }
     for (const auto& [id, m] : state.membership.members) {
-        if (!m.alive && e.now - m.last_advance > long_dead && state.inventory.hosts.contains(id)) {
+        if (!m.alive && e.now - m.last_advance > dead_host_retention &&
+            state.inventory.hosts.contains(id)) {
             out.emplace_back(remove_host_effect{id});
             apply_item(state, e, inventory_kind::hosts, {id.value, deleted_entry{}}, out);
             return;
