--- a/source/control/inventory_sync.cpp
+++ b/source/control/inventory_sync.cpp
@@ -253,7 +253,7 @@
 }
 
 /// Hosts are replaced daily, so the entries of dead ones must not accumulate in the store.
-void remove_long_dead(control_state& state, const event& e, effects& out)
+void remove_dead_host(control_state& state, const event& e, effects& out)
 {
     if (state.inventory.own_rank != 0 || !state.fleet.platform_reachable) {
         return;
@@ -298,7 +298,7 @@
     }
     register_if_due(state, e, out);
     remove_expired_targets(state, e, out);
-    remove_long_dead(state, e, out);
+    remove_dead_host(state, e, out);
     query_peers_while_starting(state, e, out);
 }
 
