--- a/source/control/store_followers.cpp
+++ b/source/control/store_followers.cpp
@@ -29,7 +29,7 @@
 }
 
 struct candidate {
-    const host* who = nullptr;
+    const host* listed_host = nullptr;
     std::uint64_t hash = 0;
     std::size_t place_in_domain = 0; ///< 0 for the first of its failure domain
 };
@@ -51,11 +51,13 @@
         }
     }
     std::ranges::sort(all, [](const candidate& a, const candidate& b) {
-        return a.who->weight != b.who->weight ? a.who->weight > b.who->weight : a.hash < b.hash;
+        return a.listed_host->weight != b.listed_host->weight
+                   ? a.listed_host->weight > b.listed_host->weight
+                   : a.hash < b.hash;
     });
     std::map<failure_domain_id, std::size_t> seen;
     for (auto& c : all) {
-        c.place_in_domain = seen[c.who->domain]++;
+        c.place_in_domain = seen[c.listed_host->domain]++;
     }
     std::ranges::stable_sort(all, {}, &candidate::place_in_domain);
     return all;
@@ -103,8 +105,8 @@
 std::size_t rank_in_region(const control_state& state, monotonic_time now)
 {
     const auto all = ranked_at_home(state, now);
-    const auto self =
-        std::ranges::find_if(all, [&](const candidate& c) { return c.who->id == state.self.host; });
+    const auto self = std::ranges::find_if(
+        all, [&](const candidate& c) { return c.listed_host->id == state.self.host; });
     return static_cast<std::size_t>(self - all.begin());
 }
 
@@ -121,7 +123,7 @@
     for (const auto& region : regions) {
         const auto all = ranked(state, region, now);
         for (std::size_t i = 0; i < std::min(all.size(), followers_per_region); ++i) {
-            followers.push_back(all[i].who);
+            followers.push_back(all[i].listed_host);
         }
     }
     return followers;
@@ -148,7 +150,7 @@
     const auto all = ranked_at_home(state, now);
     const auto end = std::min(all.size(), followers_per_region + standbys_per_region);
     for (auto i = followers_per_region; i < end; ++i) {
-        next.push_back(all[i].who);
+        next.push_back(all[i].listed_host);
     }
     std::vector<std::vector<candidate>> others;
     for (const auto& region : other_regions(state)) {
@@ -158,7 +160,7 @@
         const auto before = next.size();
         for (const auto& hosts : others) {
             if (i < hosts.size() && next.size() < max_standbys_notified) {
-                next.push_back(hosts[i].who);
+                next.push_back(hosts[i].listed_host);
             }
         }
         if (next.size() == before) {
