--- a/source/control/peer_inventory.cpp
+++ b/source/control/peer_inventory.cpp
@@ -267,8 +267,8 @@
     copy.at = revisions_of(inventory);
     for (std::size_t i = 0; i < inventory_kinds; ++i) {
         const auto kind = static_cast<inventory_kind>(i);
-        const bool has_news = copy.at.at(i) > have.at(i);
-        if (kind == inventory_kind::configuration || !has_news) {
+        const bool has_changes = copy.at.at(i) > have.at(i);
+        if (kind == inventory_kind::configuration || !has_changes) {
             copy.at.at(i) = {};
             continue;
         }
--- a/unit_tests/control/store_world.cpp
+++ b/unit_tests/control/store_world.cpp
@@ -276,9 +276,9 @@
         return;
     }
     waiting_.push_back(waiting);
-    const bool has_news = std::ranges::any_of(
+    const bool has_changes = std::ranges::any_of(
         history_, [&](const change& c) { return c.kind == query.kind && c.at > query.since; });
-    const bool waits = query.follow && !has_news;
+    const bool waits = query.follow && !has_changes;
     after(waits ? query.wait : store_delay, [this, waiting] { answer(*waiting); });
 }
 
