--- a/unit_tests/control/store_world.cpp
+++ b/unit_tests/control/store_world.cpp
@@ -263,7 +263,7 @@
 {
     ++hosts_.at(id)->calls;
     const auto life = hosts_.at(id)->life;
-    auto waiting = std::make_shared<waiting_question>(waiting_question{id, life, query});
+    auto waiting = std::make_shared<pending_query>(pending_query{id, life, query});
     after(query.wait + call_timeout, [this, waiting] {
         if (!waiting->is_over) {
             waiting->is_over = true;
@@ -282,7 +282,7 @@
     after(waits ? query.wait : store_delay, [this, waiting] { answer(*waiting); });
 }
 
-void store_world::answer(const waiting_question& waiting)
+void store_world::answer(const pending_query& waiting)
 {
     if (waiting.is_over || !reaches_store(waiting.asker)) {
         return;
@@ -308,7 +308,7 @@
         }
         page.has_more = next != known.end();
     }
-    const_cast<waiting_question&>(waiting).is_over = true;
+    const_cast<pending_query&>(waiting).is_over = true;
     give(waiting.asker, waiting.life, inventory_read_event{query, page});
 }
 
--- a/unit_tests/control/store_world.h
+++ b/unit_tests/control/store_world.h
@@ -79,7 +79,7 @@
         inventory_kind kind = inventory_kind::targets;
         std::string name;
     };
-    struct waiting_question {
+    struct pending_query {
         host_id asker;
         std::uint64_t life = 0;
         inventory_query query;
@@ -103,7 +103,7 @@
     void give(const host_id& id, std::uint64_t life, event_body body);
     void carry_out(const host_id& id, const effects& all);
     void ask(const host_id& id, const inventory_query& query);
-    void answer(const waiting_question& waiting);
+    void answer(const pending_query& waiting);
     void send(const host_id& from, const send_gossip_effect& e);
     void share(const host_id& from, const share_evidence_effect& e);
     void fetch(const host_id& from, const endpoint& peer,
@@ -127,7 +127,7 @@
     store_revision revision_{1};
     std::array<std::map<std::string, inventory_item>, inventory_kinds> objects_;
     std::vector<change> history_;
-    std::vector<std::shared_ptr<waiting_question>> waiting_;
+    std::vector<std::shared_ptr<pending_query>> waiting_;
 };
 
 } // namespace almondquay
