--- a/unit_tests/control/store_world.cpp
+++ b/unit_tests/control/store_world.cpp
@@ -189,7 +189,7 @@
         } else if (const auto* evidence = std::get_if<share_evidence_effect>(&e)) {
             share(id, *evidence);
         } else if (const auto* asked = std::get_if<query_inventory_effect>(&e)) {
-            ask(id, asked->query);
+            query_store(id, asked->query);
         } else if (const auto* copy = std::get_if<fetch_inventory_effect>(&e)) {
             const auto answer = [this, have = copy->have](const control_state& state) {
                 const auto text = encode(copy_of(state, have, steady_time(state.self.host)));
@@ -259,7 +259,7 @@
     });
 }
 
-void store_world::ask(const host_id& id, const inventory_query& query)
+void store_world::query_store(const host_id& id, const inventory_query& query)
 {
     ++hosts_.at(id)->calls;
     const auto life = hosts_.at(id)->life;
--- a/unit_tests/control/store_world.h
+++ b/unit_tests/control/store_world.h
@@ -102,7 +102,7 @@
     monotonic_time steady_time(const host_id& id) const;
     void give(const host_id& id, std::uint64_t life, event_body body);
     void carry_out(const host_id& id, const effects& all);
-    void ask(const host_id& id, const inventory_query& query);
+    void query_store(const host_id& id, const inventory_query& query);
     void answer(const pending_query& waiting);
     void send(const host_id& from, const send_gossip_effect& e);
     void share(const host_id& from, const share_evidence_effect& e);
