--- a/unit_tests/control/fleet_world.cpp
+++ b/unit_tests/control/fleet_world.cpp
@@ -136,7 +136,7 @@
     return m.now >= m.platform_down_until && m.now >= m.domain_cut_until[domain_of(host)];
 }
 
-void wake_watches(model& m)
+void complete_watches(model& m)
 {
     auto watches = std::exchange(m.watches, {});
     for (const auto& w : watches) {
@@ -153,7 +153,7 @@
     if (m.older.version != 0) {
         m.object = m.older;
         m.object.version = ++m.versions;
-        at(m, m.now, [&m] { wake_watches(m); });
+        at(m, m.now, [&m] { complete_watches(m); });
     }
 }
 
@@ -242,7 +242,7 @@
                            fleet_written_event{error{result_code::platform_conflict, ""}});
         }
         m.object = {"fleet", ++m.versions, encode(e.envelope)};
-        wake_watches(m);
+        complete_watches(m);
         deliver(m, host, life, fleet_written_event{m.versions});
     });
 }
@@ -374,7 +374,7 @@
     m.object = {"fleet", ++m.versions, encode(next)};
     m.accepted = next.number;
     m.accepted_at = m.now;
-    wake_watches(m);
+    complete_watches(m);
 }
 
 void check_end(model& m)
