--- a/unit_tests/control/store_world.cpp
+++ b/unit_tests/control/store_world.cpp
@@ -121,13 +121,13 @@
 
 void store_world::tick(const host_id& id, std::uint64_t life)
 {
-    give(id, life, tick_event{});
+    deliver(id, life, tick_event{});
     if (hosts_.at(id)->life == life) {
         after(tick_interval, [this, id, life] { tick(id, life); });
     }
 }
 
-void store_world::give(const host_id& id, std::uint64_t life, event_body body)
+void store_world::deliver(const host_id& id, std::uint64_t life, event_body body)
 {
     auto& running = *hosts_.at(id);
     if (running.life != life || has(id, host_fault::dead)) {
@@ -135,7 +135,7 @@
     }
     if (has(id, host_fault::frozen)) {
         constexpr milliseconds look_again{20};
-        after(look_again, [this, id, life, body = std::move(body)] { give(id, life, body); });
+        after(look_again, [this, id, life, body = std::move(body)] { deliver(id, life, body); });
         return;
     }
     const event e{std::move(body), steady_time(id), wall_time(now_)};
@@ -209,7 +209,7 @@
             if (reaches_store(id)) {
                 note(inventory_kind::hosts, id.value, inventory_item{id.value, listed->self});
                 after(store_delay,
-                      [this, id, life] { give(id, life, host_registered_event{done{}}); });
+                      [this, id, life] { deliver(id, life, host_registered_event{done{}}); });
             }
         }
     }
@@ -224,7 +224,7 @@
     }
     after(peer_delay, [this, to, message = e.message] {
         if (reaches_peers(to)) {
-            give(to, hosts_.at(to)->life, gossip_event{message});
+            deliver(to, hosts_.at(to)->life, gossip_event{message});
         }
     });
 }
@@ -238,7 +238,7 @@
     }
     after(peer_delay, [this, to, evidence = e.evidence] {
         if (reaches_peers(to)) {
-            give(to, hosts_.at(to)->life, crash_evidence_event{evidence, true});
+            deliver(to, hosts_.at(to)->life, crash_evidence_event{evidence, true});
         }
     });
 }
@@ -254,7 +254,7 @@
     const auto delay = is_served ? 3 * peer_delay : call_timeout;
     after(delay, [this, from, life, to, is_served, answer, failure] {
         if (reaches_peers(from)) {
-            give(from, life, is_served ? answer(hosts_.at(to)->state) : failure);
+            deliver(from, life, is_served ? answer(hosts_.at(to)->state) : failure);
         }
     });
 }
@@ -267,9 +267,9 @@
     after(query.wait + call_timeout, [this, waiting] {
         if (!waiting->is_over) {
             waiting->is_over = true;
-            give(waiting->asker, waiting->life,
-                 inventory_read_event{waiting->query,
-                                      error{result_code::platform_answer_lost, "no answer"}});
+            deliver(waiting->asker, waiting->life,
+                    inventory_read_event{waiting->query,
+                                         error{result_code::platform_answer_lost, "no answer"}});
         }
     });
     if (!reaches_store(id)) {
@@ -309,7 +309,7 @@
         page.has_more = next != known.end();
     }
     const_cast<pending_query&>(waiting).is_over = true;
-    give(waiting.asker, waiting.life, inventory_read_event{query, page});
+    deliver(waiting.asker, waiting.life, inventory_read_event{query, page});
 }
 
 store_revision store_world::note(inventory_kind kind, const std::string& name,
@@ -363,12 +363,13 @@
 
 void store_world::report_crash(const host_id& id, const crash_evidence& evidence)
 {
-    give(id, hosts_.at(id)->life, crash_evidence_event{evidence, false});
+    deliver(id, hosts_.at(id)->life, crash_evidence_event{evidence, false});
 }
 
 void store_world::report_refused_connection(const host_id& id, const target_id& target)
 {
-    give(id, hosts_.at(id)->life, target_report_event{target, target_evidence::connection_refused});
+    deliver(id, hosts_.at(id)->life,
+            target_report_event{target, target_evidence::connection_refused});
 }
 
 void store_world::set_fault(const host_id& id, host_fault fault)
--- a/unit_tests/control/store_world.h
+++ b/unit_tests/control/store_world.h
@@ -100,7 +100,7 @@
     void tick(const host_id& id, std::uint64_t life);
     bool has(const host_id& id, host_fault fault) const;
     monotonic_time steady_time(const host_id& id) const;
-    void give(const host_id& id, std::uint64_t life, event_body body);
+    void deliver(const host_id& id, std::uint64_t life, event_body body);
     void carry_out(const host_id& id, const effects& all);
     void query_store(const host_id& id, const inventory_query& query);
     void answer(const pending_query& waiting);
