--- a/unit_tests/control/fleet_world.cpp
+++ b/unit_tests/control/fleet_world.cpp
@@ -357,8 +357,8 @@
     return highest;
 }
 
-/// Applies a change like the operator's tool, which refuses to while the platform has a lower
-/// generation than the hosts.
+/// Applies a change like the operator's tool, which refuses changes while the platform has a lower
+/// generation than the hosts, and retries later if that fails.
 void apply_change(model& m, const std::vector<drain_mark>& drains)
 {
     const bool is_down = m.now < m.platform_down_until;
--- a/unit_tests/control/inventory_test.cpp
+++ b/unit_tests/control/inventory_test.cpp
@@ -249,7 +249,7 @@
         answer(state, milliseconds(4), inventory_kind::targets, {item_of(target_of("t2"))}, 7);
         const auto next = question_of(state, inventory_kind::targets);
         CPPUNIT_ASSERT(next.follow);
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{5}, next.since.value); // Of the first page.
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{5}, next.since.value); // The first page's revision.
         CPPUNIT_ASSERT(knows(state, "t1") && knows(state, "t2"));
     }
 
--- a/unit_tests/control/store_followers_test.cpp
+++ b/unit_tests/control/store_followers_test.cpp
@@ -167,7 +167,7 @@
             world.clear_fault(id);
         }
         constexpr int steps_until_in_touch =
-            50; // Of 100 ms: 3 s to count as alive, 2 s for changes.
+            50; // Steps of 100 ms: 3 s until alive again, 2 s until changes arrive.
         for (int step = 0; step < steps_until_in_touch; ++step) {
             world.run_for(milliseconds(100));
             for (const auto& id : world.hosts()) {
@@ -197,7 +197,8 @@
             world.run_for(seconds(2));
             const auto& state = world.state_of(id);
             CPPUNIT_ASSERT(state.stage == life_stage::serving && knows_target(state, "stays"));
-            CPPUNIT_ASSERT_EQUAL(before + 1, world.calls_of(id)); // Only its own registration.
+            CPPUNIT_ASSERT_EQUAL(before + 1,
+                                 world.calls_of(id)); // The registration is its only call.
         }
     }
 
