--- a/unit_tests/control/fleet_world.cpp
+++ b/unit_tests/control/fleet_world.cpp
@@ -358,7 +358,7 @@
 }
 
 /// Applies a change like the operator's tool, which refuses changes while the platform has a lower
-/// generation than the hosts, and retries later if that fails.
+/// generation than the hosts. Retries while the change is refused or the platform is down.
 void apply_change(model& m, const std::vector<drain_mark>& drains)
 {
     const bool is_down = m.now < m.platform_down_until;
