--- a/unit_tests/claims/claim_matrix_test.cpp
+++ b/unit_tests/claims/claim_matrix_test.cpp
@@ -14,7 +14,7 @@
 constexpr auto first_fault = static_cast<int>(claim_fault::lost_before);
 constexpr auto last_fault = static_cast<int>(claim_fault::last);
 /// Number of steps that the fault-free scenario takes until its first outcomes are durable; later
-/// steps are only of the same kinds.
+/// steps only repeat the same kinds.
 constexpr std::uint32_t matrix_steps = 24;
 
 /// Aggregated results of all scenarios of one test.
@@ -132,7 +132,7 @@
     }
 
     /// Regression test, found by the random fault plans: a claim that reached the owner after its
-    /// request had already been refused became durable and held a key that nobody ran.
+    /// request had already been refused became durable and reserved a key that was never run.
     void late_claim_of_an_answered_request_is_given_back()
     {
         const fault_plan plan{{0, claim_fault::late_answer},    {5, claim_fault::host_replaced},
--- a/unit_tests/claims/claim_simulation.cpp
+++ b/unit_tests/claims/claim_simulation.cpp
@@ -359,7 +359,7 @@
     } else if (const auto* replayed = std::get_if<claim_replayed>(&e.verdict)) {
         record_answer(m, e.request, true);
         if (replayed->answer.body != "first answer") {
-            violate(m, "a retry got another answer than the first request");
+            violate(m, "a retry got a different answer from the first request");
         }
     } else {
         const auto code = std::get<claim_refused>(e.verdict).code;
@@ -482,10 +482,10 @@
     m.report.runs = m.runs[m.key];
     const bool has_word = m.report.answered || m.report.last_answer_unknown;
     if (!has_word) {
-        violate(m, "long after all faults a retry gets neither an answer nor an unknown outcome");
+        violate(m, "a retry after all faults got neither an answer nor an unknown outcome");
     }
     if (m.report.answered && m.runs[m.key] == 0) {
-        violate(m, "an answer was given without a run");
+        violate(m, "a request was answered although its key never ran");
     }
 }
 
--- a/unit_tests/claims/claim_simulation.h
+++ b/unit_tests/claims/claim_simulation.h
@@ -20,12 +20,12 @@
     lost_before,   ///< never arrives; the waiting side gets a timeout
     lost_after,    ///< takes effect, but its response is lost
     late,          ///< arrives long after the waiting side has timed out
-    late_answer,   ///< takes effect at once, but its response arrives after later ones
+    late_answer,   ///< takes effect immediately, but its response arrives after later ones
     twice,         ///< is delivered twice
     host_paused,   ///< the step's host is suspended for longer than any timeout
     host_replaced, ///< the step's host crashes and restarts with a new incarnation and no state
-    platform_down, ///< the platform rejects all calls for a while, starting with this step
-    domain_cut,    ///< the step's host is partitioned from peers and platform for a while
+    platform_down, ///< the platform rejects all calls for 5 s, starting with this step
+    domain_cut,    ///< the step's host is partitioned from peers and platform for 5 s
     last = domain_cut,
 };
 
