--- a/unit_tests/fakes/fake_caller.cpp
+++ b/unit_tests/fakes/fake_caller.cpp
@@ -193,7 +193,8 @@
         co_await look_up(c);
     }
     while (c.hosts.empty() && clock_type::now() < c.hosts_expire) {
-        asio::steady_timer pause(c.io, first_answer_pause); // Another connection is looking up.
+        // Another connection performs the lookup.
+        asio::steady_timer pause(c.io, first_answer_pause);
         error_code ignored;
         co_await pause.async_wait(into(ignored));
     }
@@ -330,7 +331,7 @@
         }
         record_refusal(c, a, key);
         if (!a.problem && a.status == 200 && c.opts.registry && (a.id != key || !a.is_sealed)) {
-            a.echo = "another request's"; // Judged as wrong.
+            a.echo = "another request's"; // Counted as a wrong answer.
         }
         if (!may_resend(c, a)) {
             break;
@@ -378,23 +379,26 @@
 {
     TCLAP::CmdLine line("fake_caller: a stand-in for callers");
     using text = TCLAP::ValueArg<std::string>;
-    text seeds("", "seeds", "entry hosts to ask", false, "", "LIST", line);
-    text direct("", "direct", "addresses to call without look-up", false, "", "LIST", line);
+    text seeds("", "seeds", "entry hosts for lookups", false, "", "LIST", line);
+    text direct("", "direct", "addresses to call without a lookup", false, "", "LIST", line);
     text service("", "service", "service", false, "ledger", "NAME", line);
     text path("", "path", "path and query", false, "/", "PATH", line);
     text method("", "method", "method", false, "GET", "METHOD", line);
     text block("", "block", "caller's address", false, "127.1.0.1", "IP", line);
-    TCLAP::ValueArg<double> rate("", "rate", "requests a second, 0 for all", false, 0, "N", line);
+    TCLAP::ValueArg<double> rate("", "rate", "requests per second, 0 for no limit", false, 0, "N",
+                                 line);
     TCLAP::ValueArg<double> seconds("", "seconds", "duration", false, 2, "N", line);
     TCLAP::ValueArg<std::uint64_t> bytes("", "bytes", "size of answers", false, 100, "N", line);
-    TCLAP::ValueArg<unsigned> connections("", "connections", "at once", false, 8, "N", line);
-    TCLAP::ValueArg<unsigned> resends("", "resends", "tries after the first", false, 2, "N", line);
+    TCLAP::ValueArg<unsigned> connections("", "connections", "number of connections", false, 8, "N",
+                                          line);
+    TCLAP::ValueArg<unsigned> resends("", "resends", "retries after the first attempt", false, 2,
+                                      "N", line);
     TCLAP::SwitchArg keys("", "keys", "give each request an idempotency key", line);
-    TCLAP::SwitchArg unchecked("", "unchecked", "any answer with status 200 is right", line);
-    TCLAP::SwitchArg registry("", "registry", "speak as callers of the users' platform", line);
+    TCLAP::SwitchArg unchecked("", "unchecked", "accept any answer with status 200", line);
+    TCLAP::SwitchArg registry("", "registry", "use the protocol of the users' platform", line);
     text refused("", "refused", "file for the keys of refused requests", false, "", "FILE", line);
-    TCLAP::ValueArg<std::uint64_t> seed("", "seed", "of the keys", false, 1, "N", line);
-    TCLAP::SwitchArg csv("", "csv", "one line of figures", line);
+    TCLAP::ValueArg<std::uint64_t> seed("", "seed", "random seed", false, 1, "N", line);
+    TCLAP::SwitchArg csv("", "csv", "print the results as one CSV line", line);
     line.parse(argc, argv);
     caller c;
     c.opts = {parse_all(seeds.getValue()),
--- a/unit_tests/fakes/fake_relay.cpp
+++ b/unit_tests/fakes/fake_relay.cpp
@@ -20,10 +20,10 @@
 #include <tclap/CmdLine.h>
 
 /// Fake of the network between two endpoints: a TCP relay. POST /control?fault=NAME at its control
-/// address injects a fault: silence (open connections forward nothing any more, new ones work), cut
-/// (closes all connections and, until heal, each new one), reset (resets all connections), delay
-/// (until heal, forwards each read only after `forward_delay`), oneway (until heal, a connection
-/// forwards nothing any more once an answer arrives on it); heal ends cut, delay and oneway.
+/// address injects a fault: silence (open connections stop forwarding, new ones work), cut (closes
+/// all connections and, until heal, each new one), reset (resets all connections), delay (until
+/// heal, forwards each read only after `forward_delay`), oneway (until heal, a connection stops
+/// forwarding once an answer arrives on it); heal ends cut, delay and oneway.
 namespace {
 
 namespace asio = boost::asio;
@@ -47,7 +47,7 @@
     tcp::endpoint to;
     std::vector<std::weak_ptr<relayed_connection>> open;
     bool cut = false;
-    bool one_way = false; ///< a connection goes silent when an answer arrives on it
+    bool one_way = false; ///< a connection stops forwarding when an answer arrives on it
     std::chrono::milliseconds delay{0};
 };
 
@@ -162,7 +162,7 @@
 {
     TCLAP::CmdLine line("fake_relay: a stand-in for the network between two ends");
     TCLAP::ValueArg<std::string> at("l", "listen", "address", true, "", "IP:PORT", line);
-    TCLAP::ValueArg<std::string> to("", "to", "where to", true, "", "IP:PORT", line);
+    TCLAP::ValueArg<std::string> to("", "to", "address to forward to", true, "", "IP:PORT", line);
     TCLAP::ValueArg<std::string> control_at("", "control", "address", true, "", "IP:PORT", line);
     line.parse(argc, argv);
     relay state;
--- a/unit_tests/fakes/fake_target.cpp
+++ b/unit_tests/fakes/fake_target.cpp
@@ -26,11 +26,13 @@
 #include <tclap/CmdLine.h>
 
 /// Fake target with a few slots. Query parameters select work and faults: ms (processing time),
-/// bytes (size of the answer), fault (cut, never, garbage, twice, drop, exit, shed), endless (an
-/// endless answer until the other end closes; see `endless_shapes`). With an id it follows the
-/// protocol of the users' platform: it rejects requests that name another target, and its answers
-/// carry the request's id and its load. It counts executions by idempotency key, so that tests can
-/// check at-most-once execution.
+/// bytes (size of the answer), fault, endless (an endless answer until the other end closes; see
+/// `endless_shapes`). Faults are cut (a truncated answer), never (no answer), garbage (an answer
+/// that is not HTTP), twice (two answers to one request), drop (closes the connection without an
+/// answer), exit (the process exits) and shed (a 503 that declares the request not executed). With
+/// an id it follows the protocol of the users' platform: it rejects requests that name another
+/// target, and its answers carry the request's id and its load. It counts executions by idempotency
+/// key, so that tests can check at-most-once execution.
 namespace {
 
 namespace asio = boost::asio;
@@ -157,7 +159,7 @@
     co_return !*peer_closed;
 }
 
-/// An endless answer: how it begins and what is repeated after that.
+/// An endless answer: its beginning, and the text that is repeated until the connection closes.
 struct endless_shape {
     std::string_view name;
     std::string_view begin;
@@ -202,7 +204,7 @@
     }
 }
 
-/// `id_line` is the header line with the request's id, for answers that must pass as answers to
+/// `id_line` is the header line with the request's id, for faulty answers that must match
 /// this request.
 asio::awaitable<void> serve_faulty(target& t, tcp::socket& socket, std::string fault,
                                    std::string id_line, error_code& problem)
@@ -329,8 +331,8 @@
     TCLAP::ValueArg<std::uint32_t> slots("", "slots", "slots", false, 3, "N", command_line);
     TCLAP::ValueArg<std::string> id("", "id", "id on the users' platform", false, "", "ID",
                                     command_line);
-    TCLAP::ValueArg<std::string> runs("", "runs", "file for the keys that ran", false, "", "FILE",
-                                      command_line);
+    TCLAP::ValueArg<std::string> runs("", "runs", "file for the keys of executed requests", false,
+                                      "", "FILE", command_line);
     command_line.parse(argc, argv);
     target t;
     t.runs_file = runs.getValue();
