--- a/unit_tests/traffic/placement_test.cpp
+++ b/unit_tests/traffic/placement_test.cpp
@@ -40,8 +40,8 @@
 
 constexpr clock::time_point start{seconds(100)};
 
-/// Simulated target with slots, a queue and a cache of the objects that it handled last. As
-/// measured in benchmarks, a request for a warm object takes 0.3 times as long as for a cold one.
+/// Simulated target with slots, a queue and an LRU cache of objects. A request for a cached (warm)
+/// object takes 0.3 times as long as for a cold one, as in benchmarks.
 struct model_target {
     std::array<clock::time_point, 3> free_at{};
     std::list<std::uint64_t> warm; ///< most recently used first
@@ -78,7 +78,7 @@
     return slot;
 }
 
-/// What callers got under a simulated load.
+/// Number of requests by result in a simulation run.
 struct load_result {
     std::size_t requests = 0;
     std::size_t in_time = 0;
@@ -340,9 +340,9 @@
         }
     }
 
-    /// Guards against the failure seen in inc-593a: a region with 6 of the 66 targets of its
-    /// service refused callers while the other targets had free capacity. No caller may be refused
-    /// while a target is idle.
+    /// Regression test for incident inc-593a: a region with 6 of the 66 targets of its service
+    /// refused callers while the other targets had free capacity. No caller may be refused while a
+    /// target is idle.
     void large_answers_leave_a_region_that_has_no_room()
     {
         constexpr double slots_of_near = 6 * 3;
