--- a/unit_tests/logging/log_test.cpp
+++ b/unit_tests/logging/log_test.cpp
@@ -60,8 +60,8 @@
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    /// Overload resolution once picked the standard library's function of the same name instead of
-    /// our own, and control characters were written unescaped.
+    /// Regression test: overload resolution selected the standard library's function of the same
+    /// name instead of the project's own, and control characters were written unescaped.
     void a_value_never_breaks_its_line()
     {
         const auto line = logged("one\ntime=now \"event\"\x1b");
