--- a/unit_tests/trace/trace_test.cpp
+++ b/unit_tests/trace/trace_test.cpp
@@ -161,8 +161,8 @@
                              cause_in(logs, "r").text);
     }
 
-    /// The last attempt was reported as the cause although an earlier one, which may have run, had
-    /// determined the result.
+    /// Regression test: the last attempt was reported as the cause although an earlier one, which
+    /// may have run, had determined the result.
     void the_decisive_attempt_need_not_be_the_last()
     {
         const log_folder logs(
