--- a/benchmarks/membership_benchmark.cpp
+++ b/benchmarks/membership_benchmark.cpp
@@ -24,7 +24,7 @@
     std::int64_t seconds = 180;
 };
 
-/// Limit on false deaths that are printed; further ones are only counted.
+/// Maximum number of false deaths that are printed; further ones are only counted.
 constexpr std::size_t max_printed_false_deaths = 300;
 
 struct sent_datagram {
@@ -133,7 +133,7 @@
                 if (is_false && result_.false_deaths <= max_printed_false_deaths) {
                     std::cerr << now_ << " ms, at " << record->made.host << ": "
                               << record->made.summary << ' ' << record->made.inputs.at(1).value
-                              << " ms of silence\n";
+                              << " ms without a heartbeat\n";
                 }
             }
         }
@@ -191,10 +191,12 @@
                                     {10, 5, 0}, {6, 11, 0},  {9, 22, 0}, {9, 22, 0.1}, {40, 20, 0}};
     TCLAP::CmdLine command_line("membership_benchmark: all shapes, or one");
     TCLAP::ValueArg<int> domains("", "domains", "failure domains", false, 0, "N", command_line);
-    TCLAP::ValueArg<int> hosts("", "hosts", "hosts of each", false, 2, "N", command_line);
-    TCLAP::ValueArg<double> loss("", "loss", "part of datagrams", false, 0, "PART", command_line);
-    TCLAP::ValueArg<std::int64_t> seconds("", "seconds", "of virtual time", false, 180, "N",
-                                          command_line);
+    TCLAP::ValueArg<int> hosts("", "hosts", "hosts per failure domain", false, 2, "N",
+                               command_line);
+    TCLAP::ValueArg<double> loss("", "loss", "fraction of datagrams lost", false, 0, "PART",
+                                 command_line);
+    TCLAP::ValueArg<std::int64_t> seconds("", "seconds", "virtual time to simulate", false, 180,
+                                          "N", command_line);
     command_line.parse(argc, argv);
     if (domains.isSet()) {
         shapes = {{domains.getValue(), hosts.getValue(), loss.getValue(), seconds.getValue()}};
