--- a/unit_tests/claims/claim_simulation.cpp
+++ b/unit_tests/claims/claim_simulation.cpp
@@ -345,7 +345,7 @@
     });
 }
 
-bool says_not_run(result_code code)
+bool implies_not_run(result_code code)
 {
     return code != result_code::claim_still_running && code != result_code::claim_outcome_unknown &&
            code != result_code::claim_answer_not_kept;
@@ -366,7 +366,7 @@
         if (r.key == m.key) {
             m.report.last_answer_unknown = code == result_code::claim_outcome_unknown;
         }
-        r.refused_unrun = says_not_run(code);
+        r.refused_unrun = implies_not_run(code);
         if (r.refused_unrun && r.dispatched) {
             violate(m, "a request that ran was refused as not run");
         }
