--- a/unit_tests/claims/claim_simulation.cpp
+++ b/unit_tests/claims/claim_simulation.cpp
@@ -102,7 +102,7 @@
     h.view.owners = h.view.alive;
 }
 
-void violate(model& m, const std::string& what)
+void record_violation(model& m, const std::string& what)
 {
     m.report.violations.push_back("at " + std::to_string(m.now.count()) + " ms: " + what);
 }
@@ -308,13 +308,13 @@
     auto& r = m.requests[request];
     r.dispatched = true;
     if (r.refused_unrun) {
-        violate(m, "a request that was refused as not run was sent to a target");
+        record_violation(m, "a request that was refused as not run was sent to a target");
     }
     if (!is_durable(m, key, {name_of_host(host), incarnation(life), number})) {
-        violate(m, "a request was sent to a target before its claim was durable");
+        record_violation(m, "a request was sent to a target before its claim was durable");
     }
     if (++m.runs[key] > 1) {
-        violate(m, "a key ran twice");
+        record_violation(m, "a key ran twice");
     }
     const auto end = answer_is_lost ? claim_end::unknown : claim_end::ran;
     at(m, m.now + work_time, [&m, host, life, request, number, end] {
@@ -359,7 +359,7 @@
     } else if (const auto* replayed = std::get_if<claim_replayed>(&e.verdict)) {
         record_answer(m, e.request, true);
         if (replayed->answer.body != "first answer") {
-            violate(m, "a retry got a different answer from the first request");
+            record_violation(m, "a retry got a different answer from the first request");
         }
     } else {
         const auto code = std::get<claim_refused>(e.verdict).code;
@@ -368,7 +368,7 @@
         }
         r.refused_unrun = implies_not_run(code);
         if (r.refused_unrun && r.dispatched) {
-            violate(m, "a request that ran was refused as not run");
+            record_violation(m, "a request that ran was refused as not run");
         }
     }
 }
@@ -482,10 +482,11 @@
     m.report.runs = m.runs[m.key];
     const bool has_word = m.report.answered || m.report.last_answer_unknown;
     if (!has_word) {
-        violate(m, "a retry after all faults got neither an answer nor an unknown outcome");
+        record_violation(m,
+                         "a retry after all faults got neither an answer nor an unknown outcome");
     }
     if (m.report.answered && m.runs[m.key] == 0) {
-        violate(m, "a request was answered although its key never ran");
+        record_violation(m, "a request was answered although its key never ran");
     }
 }
 
