--- a/unit_tests/claims/claim_simulation.cpp
+++ b/unit_tests/claims/claim_simulation.cpp
@@ -93,9 +93,9 @@
     h.view = {name_of_host(host), incarnation(h.life), {}, {}};
     for (std::size_t i = 0; i < host_count; ++i) {
         const auto& other = m.hosts[i];
-        const bool hears = i == host || (m.now >= other.cut_until && m.now >= h.cut_until &&
-                                         m.now >= other.paused_until);
-        if (hears) {
+        const bool is_visible = i == host || (m.now >= other.cut_until && m.now >= h.cut_until &&
+                                              m.now >= other.paused_until);
+        if (is_visible) {
             h.view.alive[name_of_host(i)] = incarnation(other.life);
         }
     }
