--- a/unit_tests/claims/claim_simulation.cpp
+++ b/unit_tests/claims/claim_simulation.cpp
@@ -480,8 +480,8 @@
 void check_end(model& m)
 {
     m.report.runs = m.runs[m.key];
-    const bool has_word = m.report.answered || m.report.last_answer_unknown;
-    if (!has_word) {
+    const bool has_definite_result = m.report.answered || m.report.last_answer_unknown;
+    if (!has_definite_result) {
         record_violation(m,
                          "a retry after all faults got neither an answer nor an unknown outcome");
     }
