--- a/unit_tests/claims/claim_simulation.cpp
+++ b/unit_tests/claims/claim_simulation.cpp
@@ -288,13 +288,13 @@
 /// a target.
 bool is_durable(const model& m, const claim_key& key, const claim_id& id)
 {
-    const auto is_it = [&](const log_record& record) {
+    const auto is_matching_claim = [&](const log_record& record) {
         const auto* claim = std::get_if<claim_record>(&record);
         return claim != nullptr && claim->key == key && claim->id == id;
     };
     return std::ranges::any_of(m.objects, [&](const auto& entry) {
         const auto segment = value_of(decode_segment(entry.second.body));
-        return std::ranges::any_of(segment.records, is_it);
+        return std::ranges::any_of(segment.records, is_matching_claim);
     });
 }
 
