--- a/unit_tests/claims/claim_simulation.cpp
+++ b/unit_tests/claims/claim_simulation.cpp
@@ -43,7 +43,7 @@
 struct model_request {
     claim_key key{};
     bool dispatched = false;
-    bool refused_unrun = false;
+    bool refused_as_not_run = false;
     bool answered = false;
 };
 
@@ -307,7 +307,7 @@
     }
     auto& r = m.requests[request];
     r.dispatched = true;
-    if (r.refused_unrun) {
+    if (r.refused_as_not_run) {
         record_violation(m, "a request that was refused as not run was sent to a target");
     }
     if (!is_durable(m, key, {name_of_host(host), incarnation(life), number})) {
@@ -366,8 +366,8 @@
         if (r.key == m.key) {
             m.report.last_answer_unknown = code == result_code::claim_outcome_unknown;
         }
-        r.refused_unrun = implies_not_run(code);
-        if (r.refused_unrun && r.dispatched) {
+        r.refused_as_not_run = implies_not_run(code);
+        if (r.refused_as_not_run && r.dispatched) {
             record_violation(m, "a request that ran was refused as not run");
         }
     }
