--- a/unit_tests/claims/claim_matrix_test.cpp
+++ b/unit_tests/claims/claim_matrix_test.cpp
@@ -115,7 +115,7 @@
 class claim_matrix_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(claim_matrix_test);
     CPPUNIT_TEST(runs_once_without_faults);
-    CPPUNIT_TEST(late_claim_of_an_answered_request_is_given_back);
+    CPPUNIT_TEST(late_claim_of_a_refused_request_is_released);
     CPPUNIT_TEST(holds_under_every_single_fault);
     CPPUNIT_TEST(holds_under_every_pair_of_faults);
     CPPUNIT_TEST(holds_under_random_plans);
@@ -133,7 +133,7 @@
 
     /// Regression test, found by the random fault plans: a claim that reached the owner after its
     /// request had already been refused became durable and reserved a key that was never run.
-    void late_claim_of_an_answered_request_is_given_back()
+    void late_claim_of_a_refused_request_is_released()
     {
         const fault_plan plan{{0, claim_fault::late_answer},    {5, claim_fault::host_replaced},
                               {7, claim_fault::domain_cut},     {21, claim_fault::twice},
