--- a/unit_tests/claims/claim_log_test.cpp
+++ b/unit_tests/claims/claim_log_test.cpp
@@ -40,7 +40,7 @@
     CPPUNIT_TEST(not_run_frees_the_key_for_others_only);
     CPPUNIT_TEST(later_slice_expires_the_log);
     CPPUNIT_TEST(earlier_slice_is_written_over_with_its_version);
-    CPPUNIT_TEST(unreadable_segment_lets_nothing_run);
+    CPPUNIT_TEST(unreadable_segment_blocks_all_claims);
     CPPUNIT_TEST(messages_survive_a_round_trip);
     CPPUNIT_TEST(decoders_survive_any_bytes);
     CPPUNIT_TEST_SUITE_END();
@@ -109,7 +109,7 @@
                              segment_key(bucket_number(3), slice_number(9 + retained_slices), 0));
     }
 
-    void unreadable_segment_lets_nothing_run()
+    void unreadable_segment_blocks_all_claims()
     {
         claim_log log;
         const stored_object broken{"k", 1, "not a segment"};
