--- a/unit_tests/claims/claim_log_test.cpp
+++ b/unit_tests/claims/claim_log_test.cpp
@@ -39,7 +39,7 @@
     CPPUNIT_TEST(first_claim_wins);
     CPPUNIT_TEST(not_run_frees_the_key_for_others_only);
     CPPUNIT_TEST(later_slice_expires_the_log);
-    CPPUNIT_TEST(earlier_slice_is_written_over_with_its_version);
+    CPPUNIT_TEST(earlier_slice_is_overwritten_at_its_version);
     CPPUNIT_TEST(unreadable_segment_blocks_all_claims);
     CPPUNIT_TEST(messages_survive_a_round_trip);
     CPPUNIT_TEST(decoders_survive_any_bytes);
@@ -96,7 +96,7 @@
         CPPUNIT_ASSERT(log.expired);
     }
 
-    void earlier_slice_is_written_over_with_its_version()
+    void earlier_slice_is_overwritten_at_its_version()
     {
         claim_log log;
         const auto earlier =
