--- a/unit_tests/traffic/placement_test.cpp
+++ b/unit_tests/traffic/placement_test.cpp
@@ -238,7 +238,7 @@
     return result;
 }
 
-double part_in_time(const load_result& r)
+double fraction_in_time(const load_result& r)
 {
     return static_cast<double>(r.in_time) / static_cast<double>(r.requests);
 }
@@ -447,9 +447,9 @@
         const auto by_object = simulate(strategy::by_object, usual_rate, seconds(30), seconds(5));
         const auto least = simulate(strategy::least_in_flight, usual_rate, seconds(30), seconds(5));
         const auto random = simulate(strategy::any, usual_rate, seconds(30), seconds(5));
-        CPPUNIT_ASSERT(part_in_time(by_object) >= 0.9);
-        CPPUNIT_ASSERT(part_in_time(by_object) > 2 * part_in_time(least));
-        CPPUNIT_ASSERT(part_in_time(by_object) > 2 * part_in_time(random));
+        CPPUNIT_ASSERT(fraction_in_time(by_object) >= 0.9);
+        CPPUNIT_ASSERT(fraction_in_time(by_object) > 2 * fraction_in_time(least));
+        CPPUNIT_ASSERT(fraction_in_time(by_object) > 2 * fraction_in_time(random));
     }
 
     /// The load rises to 1.7 times the usual rate for three seconds. Callers must be served in time
@@ -460,7 +460,7 @@
             return passed >= seconds(10) && passed < seconds(13) ? 1.7 * 165 : 165;
         };
         const auto after = simulate(strategy::by_object, burst, seconds(30), seconds(15));
-        CPPUNIT_ASSERT(part_in_time(after) >= 0.9);
+        CPPUNIT_ASSERT(fraction_in_time(after) >= 0.9);
     }
 
     /// All hosts start with targets whose queues are full of cold work, as after a power failure of
@@ -469,7 +469,7 @@
     {
         const auto after =
             simulate(strategy::by_object, usual_rate, seconds(30), seconds(10), true);
-        CPPUNIT_ASSERT(part_in_time(after) >= 0.9);
+        CPPUNIT_ASSERT(fraction_in_time(after) >= 0.9);
     }
 };
 
