--- a/unit_tests/traffic/placement_test.cpp
+++ b/unit_tests/traffic/placement_test.cpp
@@ -255,7 +255,7 @@
     CPPUNIT_TEST(all_hosts_agree_on_an_objects_target);
     CPPUNIT_TEST(objects_stay_when_other_targets_go);
     CPPUNIT_TEST(objects_spread_by_slots);
-    CPPUNIT_TEST(homes_and_failures_of_the_request_exclude_targets);
+    CPPUNIT_TEST(targets_outside_home_regions_and_failed_ones_are_excluded);
     CPPUNIT_TEST(large_answers_stay_in_their_region);
     CPPUNIT_TEST(large_answers_leave_a_region_that_has_no_room);
     CPPUNIT_TEST(failing_targets_are_the_last_choice);
@@ -315,7 +315,7 @@
         CPPUNIT_ASSERT_DOUBLES_EQUAL(3 / slots, counts[targets[1].id] / double{objects}, 0.02);
     }
 
-    void homes_and_failures_of_the_request_exclude_targets()
+    void targets_outside_home_regions_and_failed_ones_are_excluded()
     {
         const auto targets = make_targets(4);
         const std::vector<region_id> homes{region_id("odd")};
