--- a/unit_tests/traffic/placement_test.cpp
+++ b/unit_tests/traffic/placement_test.cpp
@@ -260,7 +260,7 @@
     CPPUNIT_TEST(large_answers_leave_a_region_that_has_no_room);
     CPPUNIT_TEST(failing_targets_are_the_last_choice);
     CPPUNIT_TEST(a_cold_target_gets_no_more_than_its_share_in_a_second);
-    CPPUNIT_TEST(a_long_queue_hands_over_the_same_objects_everywhere);
+    CPPUNIT_TEST(all_hosts_move_the_same_objects_from_a_long_queue);
     CPPUNIT_TEST(reports_that_cannot_be_read_change_nothing);
     CPPUNIT_TEST(refusals_grow_with_the_predicted_excess);
     CPPUNIT_TEST(the_estimate_of_warm_work_withstands_slow_answers);
@@ -384,7 +384,7 @@
         CPPUNIT_ASSERT_EQUAL(1, sent);
     }
 
-    void a_long_queue_hands_over_the_same_objects_everywhere()
+    void all_hosts_move_the_same_objects_from_a_long_queue()
     {
         const auto targets = make_targets(16);
         std::array<load_table, 2> tables;
