--- a/unit_tests/traffic/placement_test.cpp
+++ b/unit_tests/traffic/placement_test.cpp
@@ -257,7 +257,7 @@
     CPPUNIT_TEST(objects_spread_by_slots);
     CPPUNIT_TEST(targets_outside_home_regions_and_failed_ones_are_excluded);
     CPPUNIT_TEST(large_answers_stay_in_their_region);
-    CPPUNIT_TEST(large_answers_leave_a_region_that_has_no_room);
+    CPPUNIT_TEST(large_answers_leave_a_region_without_free_capacity);
     CPPUNIT_TEST(failing_targets_are_the_last_choice);
     CPPUNIT_TEST(a_cold_target_gets_no_more_than_its_share_in_a_second);
     CPPUNIT_TEST(all_hosts_move_the_same_objects_from_a_long_queue);
@@ -343,7 +343,7 @@
     /// Regression test for incident inc-593a: a region with 6 of the 66 targets of its service
     /// refused callers while the other targets had free capacity. No caller may be refused while a
     /// target is idle.
-    void large_answers_leave_a_region_that_has_no_room()
+    void large_answers_leave_a_region_without_free_capacity()
     {
         constexpr double slots_of_near = 6 * 3;
         const double warm = std::chrono::duration<double>(warm_work).count();
