--- a/unit_tests/traffic/placement_test.cpp
+++ b/unit_tests/traffic/placement_test.cpp
@@ -261,7 +261,7 @@
     CPPUNIT_TEST(failing_targets_are_the_last_choice);
     CPPUNIT_TEST(a_cold_target_gets_no_more_than_its_share_in_a_second);
     CPPUNIT_TEST(all_hosts_move_the_same_objects_from_a_long_queue);
-    CPPUNIT_TEST(reports_that_cannot_be_read_change_nothing);
+    CPPUNIT_TEST(malformed_load_reports_are_ignored);
     CPPUNIT_TEST(refusals_grow_with_the_predicted_excess);
     CPPUNIT_TEST(the_estimate_of_warm_work_withstands_slow_answers);
     CPPUNIT_TEST(usual_load_is_served_in_time);
@@ -410,7 +410,7 @@
         CPPUNIT_ASSERT(moved > 0);
     }
 
-    void reports_that_cannot_be_read_change_nothing()
+    void malformed_load_reports_are_ignored()
     {
         target_load load;
         for (const auto* report : {"", "3", "3,", "x,1,3", "3,x,3"}) {
