--- a/unit_tests/traffic/placement_test.cpp
+++ b/unit_tests/traffic/placement_test.cpp
@@ -263,7 +263,7 @@
     CPPUNIT_TEST(all_hosts_move_the_same_objects_from_a_long_queue);
     CPPUNIT_TEST(malformed_load_reports_are_ignored);
     CPPUNIT_TEST(refusals_grow_with_the_predicted_excess);
-    CPPUNIT_TEST(the_estimate_of_warm_work_withstands_slow_answers);
+    CPPUNIT_TEST(work_estimate_is_robust_to_slow_answers);
     CPPUNIT_TEST(usual_load_is_served_in_time);
     CPPUNIT_TEST(load_recovers_after_a_burst);
     CPPUNIT_TEST(full_queues_of_cold_work_drain);
@@ -431,7 +431,7 @@
         CPPUNIT_ASSERT_EQUAL(0.0, refused_share(seconds(1), milliseconds(-5)));
     }
 
-    void the_estimate_of_warm_work_withstands_slow_answers()
+    void work_estimate_is_robust_to_slow_answers()
     {
         route_estimate estimate;
         for (int i = 0; i < 400; ++i) {
