--- a/unit_tests/traffic/slot_pool_test.cpp
+++ b/unit_tests/traffic/slot_pool_test.cpp
@@ -31,7 +31,7 @@
     CPPUNIT_TEST_SUITE(slot_pool_test);
     CPPUNIT_TEST(never_gives_more_than_the_share);
     CPPUNIT_TEST(spreads_over_the_least_used);
-    CPPUNIT_TEST(waiters_come_first_and_in_order);
+    CPPUNIT_TEST(waiters_are_served_first_in_order);
     CPPUNIT_TEST(queue_is_bounded);
     CPPUNIT_TEST(unusable_and_excluded_targets_get_nothing);
     CPPUNIT_TEST(shared_targets_have_no_slots_of_their_own_here);
@@ -67,7 +67,7 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{3}, used.size());
     }
 
-    void waiters_come_first_and_in_order()
+    void waiters_are_served_first_in_order()
     {
         const auto pool = slot_pool::create();
         pool->apply(*make_snapshot(1, 1));
