--- a/unit_tests/traffic/slot_pool_test.cpp
+++ b/unit_tests/traffic/slot_pool_test.cpp
@@ -34,7 +34,7 @@
     CPPUNIT_TEST(waiters_are_served_first_in_order);
     CPPUNIT_TEST(queue_is_bounded);
     CPPUNIT_TEST(unusable_and_excluded_targets_get_nothing);
-    CPPUNIT_TEST(shared_targets_have_no_slots_of_their_own_here);
+    CPPUNIT_TEST(shared_targets_are_not_in_the_pool);
     CPPUNIT_TEST(share_holds_under_random_use);
     CPPUNIT_TEST(retries_are_a_part_of_requests);
     CPPUNIT_TEST(refusals_have_statuses);
@@ -115,7 +115,7 @@
 
     /// Shared targets are chosen by placement and must not enter the pool: looking each one up for
     /// every snapshot took milliseconds with 924 targets.
-    void shared_targets_have_no_slots_of_their_own_here()
+    void shared_targets_are_not_in_the_pool()
     {
         const auto pool = slot_pool::create();
         const auto snapshot = make_snapshot(3, 2);
