--- a/unit_tests/traffic/slot_pool_test.cpp
+++ b/unit_tests/traffic/slot_pool_test.cpp
@@ -36,7 +36,7 @@
     CPPUNIT_TEST(unusable_and_excluded_targets_get_nothing);
     CPPUNIT_TEST(shared_targets_are_not_in_the_pool);
     CPPUNIT_TEST(share_holds_under_random_use);
-    CPPUNIT_TEST(retries_are_a_part_of_requests);
+    CPPUNIT_TEST(retries_are_limited_to_a_ratio_of_requests);
     CPPUNIT_TEST(refusals_have_statuses);
     CPPUNIT_TEST_SUITE_END();
 
@@ -149,7 +149,7 @@
         }
     }
 
-    void retries_are_a_part_of_requests()
+    void retries_are_limited_to_a_ratio_of_requests()
     {
         const shared_budgets bounds;
         constexpr std::size_t hosts = 4;
