--- a/unit_tests/steering/steering_test.cpp
+++ b/unit_tests/steering/steering_test.cpp
@@ -114,7 +114,7 @@
     CPPUNIT_TEST(block_table_finds_the_longest_match);
     CPPUNIT_TEST(shares_add_up_to_the_whole);
     CPPUNIT_TEST(shares_are_balanced_over_hosts);
-    CPPUNIT_TEST(answers_name_the_nearest_place_that_can_serve);
+    CPPUNIT_TEST(lookups_return_the_nearest_domain_that_can_serve);
     CPPUNIT_TEST(a_place_needs_what_its_service_depends_on);
     CPPUNIT_TEST(drained_and_dead_places_leave_the_answers);
     CPPUNIT_TEST(targets_that_leave_or_go_are_not_usable);
@@ -176,7 +176,7 @@
         }
     }
 
-    void answers_name_the_nearest_place_that_can_serve()
+    void lookups_return_the_nearest_domain_that_can_serve()
     {
         const auto f = sample_fleet();
         CPPUNIT_ASSERT_EQUAL(std::string("w1:1 w2:1 "), chosen(f, all_hosts_live(), "top", "west"));
