--- a/unit_tests/steering/steering_test.cpp
+++ b/unit_tests/steering/steering_test.cpp
@@ -115,7 +115,7 @@
     CPPUNIT_TEST(shares_add_up_to_the_whole);
     CPPUNIT_TEST(shares_are_balanced_over_hosts);
     CPPUNIT_TEST(lookups_return_the_nearest_domain_that_can_serve);
-    CPPUNIT_TEST(a_place_needs_what_its_service_depends_on);
+    CPPUNIT_TEST(domain_needs_reachable_dependencies);
     CPPUNIT_TEST(drained_and_dead_places_leave_the_answers);
     CPPUNIT_TEST(targets_that_leave_or_go_are_not_usable);
     CPPUNIT_TEST_SUITE_END();
@@ -183,7 +183,7 @@
         CPPUNIT_ASSERT_EQUAL(std::string("e1:3 "), chosen(f, all_hosts_live(), "base", "west"));
     }
 
-    void a_place_needs_what_its_service_depends_on()
+    void domain_needs_reachable_dependencies()
     {
         // Domain x has a target of "top" but no link to where "base" runs.
         const auto f = sample_fleet();
