--- a/unit_tests/steering/steering_test.cpp
+++ b/unit_tests/steering/steering_test.cpp
@@ -116,7 +116,7 @@
     CPPUNIT_TEST(shares_are_balanced_over_hosts);
     CPPUNIT_TEST(lookups_return_the_nearest_domain_that_can_serve);
     CPPUNIT_TEST(domain_needs_reachable_dependencies);
-    CPPUNIT_TEST(drained_and_dead_places_leave_the_answers);
+    CPPUNIT_TEST(drained_and_dead_hosts_are_removed_from_lookups);
     CPPUNIT_TEST(targets_that_leave_or_go_are_not_usable);
     CPPUNIT_TEST_SUITE_END();
 
@@ -194,7 +194,7 @@
         CPPUNIT_ASSERT_EQUAL(std::string(), chosen(f, availability, "top", "west"));
     }
 
-    void drained_and_dead_places_leave_the_answers()
+    void drained_and_dead_hosts_are_removed_from_lookups()
     {
         const auto f = sample_fleet();
         auto availability = all_hosts_live();
