--- a/unit_tests/steering/steering_test.cpp
+++ b/unit_tests/steering/steering_test.cpp
@@ -117,7 +117,7 @@
     CPPUNIT_TEST(lookups_return_the_nearest_domain_that_can_serve);
     CPPUNIT_TEST(domain_needs_reachable_dependencies);
     CPPUNIT_TEST(drained_and_dead_hosts_are_removed_from_lookups);
-    CPPUNIT_TEST(targets_that_leave_or_go_are_not_usable);
+    CPPUNIT_TEST(leaving_and_removed_targets_are_not_usable);
     CPPUNIT_TEST_SUITE_END();
 
 public:
@@ -207,7 +207,7 @@
         CPPUNIT_ASSERT_EQUAL(std::string(), chosen(f, availability, "base", "east"));
     }
 
-    void targets_that_leave_or_go_are_not_usable()
+    void leaving_and_removed_targets_are_not_usable()
     {
         routing_snapshot snapshot;
         service_routes routes;
