--- a/unit_tests/steering/route_table_test.cpp
+++ b/unit_tests/steering/route_table_test.cpp
@@ -23,7 +23,7 @@
     CPPUNIT_TEST_SUITE(route_table_test);
     CPPUNIT_TEST(the_longest_prefix_decides);
     CPPUNIT_TEST(hosts_are_compared_without_case_and_port);
-    CPPUNIT_TEST(the_query_does_not_count);
+    CPPUNIT_TEST(query_is_ignored_in_route_matching);
     CPPUNIT_TEST(parts_come_out_as_their_weights_say);
     CPPUNIT_TEST_SUITE_END();
 
@@ -47,7 +47,7 @@
         CPPUNIT_ASSERT(find_rule(*table, "a.eXample:8080", "/") != nullptr);
     }
 
-    void the_query_does_not_count()
+    void query_is_ignored_in_route_matching()
     {
         const auto table = make_route_table({make_rule("r", "a", "/x/y/")});
         CPPUNIT_ASSERT(find_rule(*table, "a", "/x?/x/y/") == nullptr);
