--- a/unit_tests/steering/route_table_test.cpp
+++ b/unit_tests/steering/route_table_test.cpp
@@ -24,7 +24,7 @@
     CPPUNIT_TEST(the_longest_prefix_decides);
     CPPUNIT_TEST(hosts_are_compared_without_case_and_port);
     CPPUNIT_TEST(query_is_ignored_in_route_matching);
-    CPPUNIT_TEST(parts_come_out_as_their_weights_say);
+    CPPUNIT_TEST(parts_are_distributed_by_weight);
     CPPUNIT_TEST_SUITE_END();
 
 public:
@@ -54,7 +54,7 @@
         CPPUNIT_ASSERT(find_rule(*table, "a", "/x/y/?q") != nullptr);
     }
 
-    void parts_come_out_as_their_weights_say()
+    void parts_are_distributed_by_weight()
     {
         route_rule rule;
         rule.parts = {{service_id("a"), 90}, {service_id("b"), 10}, {service_id("c"), 0}};
