--- a/unit_tests/logging/event_schema_test.cpp
+++ b/unit_tests/logging/event_schema_test.cpp
@@ -58,7 +58,7 @@
 }
 
 /// The first string literal of each braced list: {"word", ...}.
-std::vector<std::string> first_words(const std::string& arguments)
+std::vector<std::string> first_literals(const std::string& arguments)
 {
     return matches(arguments, R"re(\{\s*"([a-z_]+)"\s*,)re");
 }
@@ -71,7 +71,7 @@
         const auto arguments = arguments_at(text, open);
         const auto name = matches(arguments, R"re(level::\w+,\s*"([a-z_]+)")re");
         if (!name.empty()) { // Decisions are logged by a call without a literal event name.
-            const auto fields = first_words(arguments);
+            const auto fields = first_literals(arguments);
             all.lines[name.front()].insert(fields.begin(), fields.end());
         }
     }
@@ -84,7 +84,7 @@
         const auto open = text.find('(', static_cast<std::size_t>(it->position()));
         const auto arguments = arguments_at(text, open);
         auto kinds = matches(arguments, R"re(\{\s*\w+ \? "([a-z_]+)" : "([a-z_]+)",)re");
-        auto inputs = first_words(arguments);
+        auto inputs = first_literals(arguments);
         if (kinds.empty()) {
             CPPUNIT_ASSERT_MESSAGE(arguments, !inputs.empty());
             kinds.push_back(inputs.front());
