--- a/unit_tests/fakes/fake_caller.cpp
+++ b/unit_tests/fakes/fake_caller.cpp
@@ -169,7 +169,7 @@
 
 /// Picks a host at random by weight. Hosts of weight 0 are picked only if there is no other, and
 /// `avoid` only if it is the single host.
-almondquay::endpoint choose(caller& c, const almondquay::endpoint* avoid)
+almondquay::endpoint pick_by_weight(caller& c, const almondquay::endpoint* avoid)
 {
     std::vector<double> weights;
     for (const auto& host : c.hosts) {
@@ -198,7 +198,7 @@
         error_code ignored;
         co_await pause.async_wait(into(ignored));
     }
-    co_return choose(c, avoid);
+    co_return pick_by_weight(c, avoid);
 }
 
 struct answer {
