--- a/unit_tests/fakes/fake_caller.cpp
+++ b/unit_tests/fakes/fake_caller.cpp
@@ -33,7 +33,7 @@
 using clock_type = std::chrono::steady_clock;
 
 constexpr std::chrono::seconds request_timeout{5};
-constexpr std::chrono::milliseconds first_answer_pause{5};
+constexpr std::chrono::milliseconds lookup_poll_interval{5};
 constexpr std::chrono::milliseconds lookup_timeout{500};
 
 struct options {
@@ -194,7 +194,7 @@
     }
     while (c.hosts.empty() && clock_type::now() < c.hosts_expire) {
         // Another connection performs the lookup.
-        asio::steady_timer pause(c.io, first_answer_pause);
+        asio::steady_timer pause(c.io, lookup_poll_interval);
         error_code ignored;
         co_await pause.async_wait(into(ignored));
     }
