--- a/unit_tests/fakes/fake_target.cpp
+++ b/unit_tests/fakes/fake_target.cpp
@@ -209,7 +209,7 @@
 asio::awaitable<void> serve_faulty(target& t, tcp::socket& socket, std::string fault,
                                    std::string id_line, error_code& problem)
 {
-    constexpr std::uint64_t promised = 1000;
+    constexpr std::uint64_t declared_length = 1000;
     if (fault == "exit") {
         std::_Exit(1);
     }
@@ -219,7 +219,8 @@
         co_await write_text(socket, "\x01\x02 not http at all\r\n\r\n", problem);
     } else if (fault == "cut") {
         co_await write_text(
-            socket, head(promised, "cut\r\n" + id_line.substr(0, id_line.size() - 2)) + "half",
+            socket,
+            head(declared_length, "cut\r\n" + id_line.substr(0, id_line.size() - 2)) + "half",
             problem);
     } else if (fault == "shed") {
         co_await write_text(socket,
