--- a/benchmarks/membership_benchmark.cpp
+++ b/benchmarks/membership_benchmark.cpp
@@ -159,9 +159,10 @@
         bool far = true;
         for (std::size_t i = 1; i < hosts_.size(); ++i) {
             const auto found = hosts_[i].membership.members.find(host_id("domain-0-0"));
-            const bool knows = found == hosts_[i].membership.members.end() || !found->second.alive;
+            const bool has_detected =
+                found == hosts_[i].membership.members.end() || !found->second.alive;
             const bool is_near = i < static_cast<std::size_t>(shape_.hosts_per_domain);
-            (is_near ? near : far) = (is_near ? near : far) && knows;
+            (is_near ? near : far) = (is_near ? near : far) && has_detected;
         }
         if (near && result_.near_detected_ms < 0) {
             result_.near_detected_ms = now_ - death_ms;
