--- a/unit_tests/platform/settings_template_test.cpp
+++ b/unit_tests/platform/settings_template_test.cpp
@@ -19,8 +19,8 @@
     bool is_last = true;
 };
 
-/// Implements the subset of the platform's template language that `deploy/entry-host.ini` uses:
-/// values by path, and sections that iterate over tables and lists, with commas between entries.
+/// The value of a template tag: `@` is the entry's key, `.` the entry itself, `,` a comma except
+/// after the last entry; anything else is a dotted path into `fields`.
 std::string value_at(const json& fields, const std::string& path, const scope& in)
 {
     if (path == "@") {
@@ -38,6 +38,8 @@
     return value.is_string() ? value.get<std::string>() : value.dump();
 }
 
+/// Implements the subset of the platform's template language that `deploy/entry-host.ini` uses:
+/// values by path, and sections that iterate over tables and lists, with commas between entries.
 std::string render(const std::string& text, const json& fields, const scope& in = {})
 {
     std::string out;
