--- a/unit_tests/fakes/fake_platform.cpp
+++ b/unit_tests/fakes/fake_platform.cpp
@@ -14,8 +14,9 @@
 
 #include <tclap/CmdLine.h>
 
-/// Fake of the platform's object API with versions, conditional updates, watches and rate limits.
-/// POST /control?fault=NAME&value=N injects a fault.
+/// Fake of the platform's object API, where hosts store the fleet text and the claim logs:
+/// versions, conditional updates, watches and rate limits. POST /control?fault=NAME&value=N injects
+/// a fault.
 namespace {
 
 namespace asio = boost::asio;
