--- a/unit_tests/control/crash_evidence_test.cpp
+++ b/unit_tests/control/crash_evidence_test.cpp
@@ -75,7 +75,7 @@
 
 public:
     /// Guards against a flood of evidence: when targets lost a quarter of their answers, every host
-    /// reported each loss to every other host, which took all CPU time of the fleet for seconds.
+    /// reported each loss to every other host, which saturated the CPUs of the fleet for seconds.
     void a_crash_is_told_to_few_hosts_of_a_large_fleet()
     {
         auto world = make_world();
--- a/unit_tests/control/fleet_world.cpp
+++ b/unit_tests/control/fleet_world.cpp
@@ -14,7 +14,8 @@
 using std::chrono::milliseconds;
 
 constexpr std::size_t host_count = 5;
-constexpr std::size_t hosts_in_a = 3; ///< one more than there are watchers of the platform
+constexpr std::size_t hosts_in_a =
+    3; ///< one more than the number of platform watchers per failure domain
 constexpr milliseconds message_delay{2};
 constexpr milliseconds call_timeout{1'000};
 constexpr milliseconds late_by{7'000};
--- a/unit_tests/control/fleet_world.h
+++ b/unit_tests/control/fleet_world.h
@@ -15,8 +15,8 @@
 enum class fleet_fault {
     none,
     lost,              ///< the message or call of this step is lost
-    late,              ///< it arrives with a long delay
-    twice,             ///< it arrives twice
+    late,              ///< the message or call arrives with a long delay
+    twice,             ///< the message or call arrives twice
     host_paused,       ///< the step's host is paused for a while
     host_replaced,     ///< the step's host dies and restarts without any state
     platform_down,     ///< the platform does not answer for a while
--- a/unit_tests/control/inventory_test.cpp
+++ b/unit_tests/control/inventory_test.cpp
@@ -416,8 +416,8 @@
     }
 
     /// Guards against needless queries: each host queried evacuations 19 times although there were
-    /// none, since hosts that had read the same change at different times took each other's
-    /// revisions for newer ones.
+    /// none, since hosts that had read the same change at different times mistook each
+    /// other's revisions for newer ones.
     void the_same_change_read_later_gives_the_same_revision()
     {
         const auto kind = static_cast<std::size_t>(inventory_kind::targets);
--- a/unit_tests/control/store_followers_test.cpp
+++ b/unit_tests/control/store_followers_test.cpp
@@ -202,7 +202,7 @@
         }
     }
 
-    /// Some hosts keep serving; the restarted ones get all state from them.
+    /// Some hosts keep serving; the restarted ones copy all their state from them.
     void all_hosts_restart_while_the_store_is_away()
     {
         auto world = make_world();
--- a/unit_tests/control/store_world.h
+++ b/unit_tests/control/store_world.h
@@ -8,8 +8,8 @@
 #include <queue>
 #include <set>
 
-/// A deterministic simulation in virtual time of hosts with the real reducer, a store and a
-/// network.
+/// A deterministic simulation in virtual time: hosts that run the real reducer, a simulated store
+/// and a simulated network.
 namespace almondquay {
 
 struct store_world_settings {
@@ -23,7 +23,7 @@
 
 /// Faults that can be injected at a host.
 enum class host_fault {
-    dead,   ///< does nothing, and nothing reaches it
+    dead,   ///< processes no events and sends nothing
     frozen, ///< like dead, but resumes with its state when the fault ends
     deaf,   ///< its queries to the store are never answered
     alone,  ///< partitioned from the store and all other hosts
