--- a/source/control/inventory_items.h
+++ b/source/control/inventory_items.h
@@ -22,11 +22,12 @@
 void apply_host(control_state& state, const host& h);
 
 /// Begins or ends the evacuation of a failure domain. When it ends, the domain's targets count as
-/// cold for the cold time of their service unless they register otherwise.
+/// cold for the `cold_time` of their service unless they register again earlier with another value.
 void update_evacuation(control_state& state, const event& e, const failure_domain_id& domain,
                        bool begins, effects& out);
 
-/// Removes an entry that a peer reports as deleted; a target is kept for another `grace_left`.
+/// Removes an entry that a peer reports as deleted; a target that is still listed here is
+/// removed only after `grace_left`, unless it registers again before.
 void apply_removal(control_state& state, const event& e, inventory_kind kind,
                    const std::string& name, std::chrono::milliseconds grace_left, effects& out);
 
--- a/source/control/inventory_sync.cpp
+++ b/source/control/inventory_sync.cpp
@@ -24,7 +24,7 @@
 constexpr std::chrono::minutes dead_host_retention{2};
 /// The revision of a list that never had an entry; 0 would mean that the list is not known.
 const store_revision empty_list_revision{1};
-/// Targets and hosts often change many at a time. A delay before the next query batches their
+/// Targets and hosts often change in large groups. A delay before the next query batches their
 /// changes in one answer; it is short compared to the seconds that a leaving target keeps serving.
 constexpr std::chrono::milliseconds target_batching_delay{800};
 /// Gossip shows earlier which of the listed hosts are alive, so this delays only new hosts.
