--- a/source/control/inventory_items.h
+++ b/source/control/inventory_items.h
@@ -22,12 +22,12 @@
 void apply_host(control_state& state, const host& h);
 
 /// Begins or ends the evacuation of a failure domain. When it ends, the domain's targets count as
-/// cold for the `cold_time` of their service unless they register again earlier with another value.
+/// cold for the `cold_time` of their service, unless a later registration states another time.
 void update_evacuation(control_state& state, const event& e, const failure_domain_id& domain,
                        bool begins, effects& out);
 
-/// Removes an entry that a peer reports as deleted; a target that is still listed here is
-/// removed only after `grace_left`, unless it registers again before.
+/// Removes an entry that a peer reports as deleted; a target is removed only after
+/// `grace_left`, unless it registers again within this time.
 void apply_removal(control_state& state, const event& e, inventory_kind kind,
                    const std::string& name, std::chrono::milliseconds grace_left, effects& out);
 
