--- a/unit_tests/control/store_world.cpp
+++ b/unit_tests/control/store_world.cpp
@@ -267,7 +267,7 @@
     after(query.wait + call_timeout, [this, waiting] {
         if (!waiting->is_over) {
             waiting->is_over = true;
-            deliver(waiting->asker, waiting->life,
+            deliver(waiting->querying_host, waiting->life,
                     inventory_read_event{waiting->query,
                                          error{result_code::platform_answer_lost, "no answer"}});
         }
@@ -284,7 +284,7 @@
 
 void store_world::answer(const pending_query& waiting)
 {
-    if (waiting.is_over || !reaches_store(waiting.asker)) {
+    if (waiting.is_over || !reaches_store(waiting.querying_host)) {
         return;
     }
     const auto& query = waiting.query;
@@ -309,7 +309,7 @@
         page.has_more = next != known.end();
     }
     const_cast<pending_query&>(waiting).is_over = true;
-    deliver(waiting.asker, waiting.life, inventory_read_event{query, page});
+    deliver(waiting.querying_host, waiting.life, inventory_read_event{query, page});
 }
 
 store_revision store_world::note(inventory_kind kind, const std::string& name,
--- a/unit_tests/control/store_world.h
+++ b/unit_tests/control/store_world.h
@@ -80,7 +80,7 @@
         std::string name;
     };
     struct pending_query {
-        host_id asker;
+        host_id querying_host;
         std::uint64_t life = 0;
         inventory_query query;
         bool is_over = false;
