--- a/unit_tests/control/store_world.cpp
+++ b/unit_tests/control/store_world.cpp
@@ -139,7 +139,7 @@
         return;
     }
     const event e{std::move(body), steady_time(id), wall_time(now_)};
-    carry_out(id, reduce(running.state, e));
+    run_effects(id, reduce(running.state, e));
 }
 
 bool store_world::has(const host_id& id, host_fault fault) const
@@ -180,7 +180,7 @@
     return found == hosts_.end() ? host_id{} : found->first;
 }
 
-void store_world::carry_out(const host_id& id, const effects& all)
+void store_world::run_effects(const host_id& id, const effects& all)
 {
     const auto life = hosts_.at(id)->life;
     for (const auto& e : all) {
--- a/unit_tests/control/store_world.h
+++ b/unit_tests/control/store_world.h
@@ -101,7 +101,7 @@
     bool has(const host_id& id, host_fault fault) const;
     monotonic_time steady_time(const host_id& id) const;
     void deliver(const host_id& id, std::uint64_t life, event_body body);
-    void carry_out(const host_id& id, const effects& all);
+    void run_effects(const host_id& id, const effects& all);
     void query_store(const host_id& id, const inventory_query& query);
     void answer(const pending_query& waiting);
     void send(const host_id& from, const send_gossip_effect& e);
