--- a/unit_tests/control/store_world.cpp
+++ b/unit_tests/control/store_world.cpp
@@ -207,7 +207,8 @@
         } else if (const auto* listed = std::get_if<register_host_effect>(&e)) {
             ++hosts_.at(id)->calls;
             if (reaches_store(id)) {
-                note(inventory_kind::hosts, id.value, inventory_item{id.value, listed->self});
+                commit_change(inventory_kind::hosts, id.value,
+                              inventory_item{id.value, listed->self});
                 after(store_delay,
                       [this, id, life] { deliver(id, life, host_registered_event{done{}}); });
             }
@@ -312,8 +313,8 @@
     deliver(waiting.querying_host, waiting.life, inventory_read_event{query, page});
 }
 
-store_revision store_world::note(inventory_kind kind, const std::string& name,
-                                 std::optional<inventory_item> item)
+store_revision store_world::commit_change(inventory_kind kind, const std::string& name,
+                                          std::optional<inventory_item> item)
 {
     ++revision_.value;
     auto& known = objects_.at(index_of(kind));
@@ -341,24 +342,25 @@
     t.definition.domain.value = "r0-0";
     t.definition.address = {"10.9.0.1", 9000};
     t.definition.life.value = life;
-    return note(inventory_kind::targets, name, inventory_item{name, t});
+    return commit_change(inventory_kind::targets, name, inventory_item{name, t});
 }
 
 store_revision store_world::delete_target(const std::string& name)
 {
-    return note(inventory_kind::targets, name, std::nullopt);
+    return commit_change(inventory_kind::targets, name, std::nullopt);
 }
 
 store_revision store_world::put_evacuation(const std::string& domain)
 {
-    return note(inventory_kind::evacuations, domain,
-                inventory_item{domain, evacuation{failure_domain_id(domain)}});
+    return commit_change(inventory_kind::evacuations, domain,
+                         inventory_item{domain, evacuation{failure_domain_id(domain)}});
 }
 
 store_revision store_world::put_configuration(std::uint64_t number)
 {
-    return note(inventory_kind::configuration, "main",
-                inventory_item{"main", fleet_envelope{generation(number), "text", {}, "", "", 0}});
+    return commit_change(
+        inventory_kind::configuration, "main",
+        inventory_item{"main", fleet_envelope{generation(number), "text", {}, "", "", 0}});
 }
 
 void store_world::report_crash(const host_id& id, const crash_evidence& evidence)
--- a/unit_tests/control/store_world.h
+++ b/unit_tests/control/store_world.h
@@ -109,8 +109,8 @@
     void fetch(const host_id& from, const endpoint& peer,
                const std::function<event_body(const control_state&)>& answer,
                const event_body& failure);
-    store_revision note(inventory_kind kind, const std::string& name,
-                        std::optional<inventory_item> item);
+    store_revision commit_change(inventory_kind kind, const std::string& name,
+                                 std::optional<inventory_item> item);
     bool reaches_peers(const host_id& id) const;
     bool reaches_store(const host_id& id) const;
     host_id host_at(const endpoint& peer) const;
