--- a/unit_tests/control/store_world.cpp
+++ b/unit_tests/control/store_world.cpp
@@ -134,8 +134,9 @@
         return;
     }
     if (has(id, host_fault::frozen)) {
-        constexpr milliseconds look_again{20};
-        after(look_again, [this, id, life, body = std::move(body)] { deliver(id, life, body); });
+        constexpr milliseconds redelivery_interval{20};
+        after(redelivery_interval,
+              [this, id, life, body = std::move(body)] { deliver(id, life, body); });
         return;
     }
     const event e{std::move(body), steady_time(id), wall_time(now_)};
