--- a/unit_tests/control/store_followers_test.cpp
+++ b/unit_tests/control/store_followers_test.cpp
@@ -206,7 +206,7 @@
     void all_hosts_restart_while_the_store_is_away()
     {
         auto world = make_world();
-        world.set_store_away(true);
+        world.set_store_unreachable(true);
         const auto all = world.hosts();
         for (std::size_t i = 1; i < all.size(); ++i) {
             world.restart(all[i]);
--- a/unit_tests/control/store_world.h
+++ b/unit_tests/control/store_world.h
@@ -53,7 +53,7 @@
     void clear_fault(const host_id& id);
     /// Kills a host's process and starts a new one.
     void restart(const host_id& id);
-    void set_store_away(bool away) { store_away_ = away; }
+    void set_store_unreachable(bool away) { store_away_ = away; }
 
     /// All hosts, and those that are followers of the store.
     std::vector<host_id> hosts() const;
