--- a/unit_tests/control/store_world.cpp
+++ b/unit_tests/control/store_world.cpp
@@ -171,7 +171,7 @@
 
 bool store_world::reaches_store(const host_id& id) const
 {
-    return !store_away_ && !faults_.contains(id);
+    return !store_unreachable_ && !faults_.contains(id);
 }
 
 host_id store_world::host_at(const endpoint& peer) const
--- a/unit_tests/control/store_world.h
+++ b/unit_tests/control/store_world.h
@@ -53,7 +53,7 @@
     void clear_fault(const host_id& id);
     /// Kills a host's process and starts a new one.
     void restart(const host_id& id);
-    void set_store_unreachable(bool away) { store_away_ = away; }
+    void set_store_unreachable(bool away) { store_unreachable_ = away; }
 
     /// All hosts, and those that are followers of the store.
     std::vector<host_id> hosts() const;
@@ -122,7 +122,7 @@
     std::priority_queue<timed_action> actions_;
     std::map<host_id, std::unique_ptr<running_host>> hosts_;
     std::map<host_id, host_fault> faults_;
-    bool store_away_ = false;
+    bool store_unreachable_ = false;
     std::size_t evidence_calls_ = 0;
     store_revision revision_{1};
     std::array<std::map<std::string, inventory_item>, inventory_kinds> objects_;
