--- a/unit_tests/control/store_world.cpp
+++ b/unit_tests/control/store_world.cpp
@@ -267,8 +267,8 @@
     const auto life = hosts_.at(id)->life;
     auto waiting = std::make_shared<pending_query>(pending_query{id, life, query});
     after(query.wait + call_timeout, [this, waiting] {
-        if (!waiting->is_over) {
-            waiting->is_over = true;
+        if (!waiting->is_completed) {
+            waiting->is_completed = true;
             deliver(waiting->querying_host, waiting->life,
                     inventory_read_event{waiting->query,
                                          error{result_code::platform_answer_lost, "no answer"}});
@@ -286,7 +286,7 @@
 
 void store_world::answer(const pending_query& waiting)
 {
-    if (waiting.is_over || !reaches_store(waiting.querying_host)) {
+    if (waiting.is_completed || !reaches_store(waiting.querying_host)) {
         return;
     }
     const auto& query = waiting.query;
@@ -310,7 +310,7 @@
         }
         page.has_more = next != known.end();
     }
-    const_cast<pending_query&>(waiting).is_over = true;
+    const_cast<pending_query&>(waiting).is_completed = true;
     deliver(waiting.querying_host, waiting.life, inventory_read_event{query, page});
 }
 
@@ -326,7 +326,7 @@
         known.erase(name);
     }
     history_.push_back({revision_, kind, name});
-    std::erase_if(waiting_, [](const auto& w) { return w->is_over; });
+    std::erase_if(waiting_, [](const auto& w) { return w->is_completed; });
     for (const auto& w : waiting_) {
         if (w->query.follow && w->query.kind == kind) {
             after(store_delay, [this, w] { answer(*w); });
--- a/unit_tests/control/store_world.h
+++ b/unit_tests/control/store_world.h
@@ -83,7 +83,7 @@
         host_id querying_host;
         std::uint64_t life = 0;
         inventory_query query;
-        bool is_over = false;
+        bool is_completed = false;
     };
     struct timed_action {
         std::chrono::milliseconds at;
