--- a/unit_tests/control/fleet_world.cpp
+++ b/unit_tests/control/fleet_world.cpp
@@ -187,7 +187,7 @@
 }
 
 /// Delivers a message or call under the given fault; `act` runs once per delivery.
-void carry(model& m, fleet_fault fault, const std::function<void()>& act)
+void deliver_with_fault(model& m, fleet_fault fault, const std::function<void()>& act)
 {
     if (fault == fleet_fault::lost) {
         return;
@@ -210,7 +210,7 @@
     if (fault == fleet_fault::lost) {
         return fail(call_timeout);
     }
-    carry(m, fault, [&m, host, life, e, fail] {
+    deliver_with_fault(m, fault, [&m, host, life, e, fail] {
         if (!reaches_platform(m, host)) {
             return fail(call_timeout);
         }
@@ -237,7 +237,7 @@
 void perform(model& m, std::size_t host, const write_fleet_effect& e)
 {
     const auto life = m.hosts[host].life;
-    carry(m, next_fault(m, host), [&m, host, life, e] {
+    deliver_with_fault(m, next_fault(m, host), [&m, host, life, e] {
         if (!reaches_platform(m, host) || m.object.version != e.expected) {
             return deliver(m, host, life,
                            fleet_written_event{error{result_code::platform_conflict, ""}});
@@ -252,7 +252,7 @@
 {
     const auto life = m.hosts[host].life;
     const auto peer = host_at(e.peer);
-    carry(m, next_fault(m, host), [&m, host, life, peer] {
+    deliver_with_fault(m, next_fault(m, host), [&m, host, life, peer] {
         if (is_cut(m, host, peer) || m.now < m.hosts[peer].paused_until) {
             return;
         }
