--- a/unit_tests/control/fleet_world.cpp
+++ b/unit_tests/control/fleet_world.cpp
@@ -277,7 +277,7 @@
 
 template <class Effect> void perform(model& /*m*/, std::size_t /*host*/, const Effect& /*e*/) {}
 
-void note_state(model& m)
+void record_state_hash(model& m)
 {
     std::size_t seed = 0;
     for (const auto& h : m.hosts) {
@@ -335,7 +335,7 @@
         std::visit([&](const auto& one) { perform(m, host, one); }, effect);
     }
     check(m, host);
-    note_state(m);
+    record_state_hash(m);
 }
 
 void tick(model& m, std::size_t host)
