--- a/unit_tests/control/fleet_world.cpp
+++ b/unit_tests/control/fleet_world.cpp
@@ -18,7 +18,7 @@
     3; ///< one more than the number of platform watchers per failure domain
 constexpr milliseconds message_delay{2};
 constexpr milliseconds call_timeout{1'000};
-constexpr milliseconds late_by{7'000};
+constexpr milliseconds late_message_delay{7'000};
 constexpr milliseconds pause_time{15'000};
 constexpr milliseconds outage_time{8'000};
 constexpr milliseconds last_fault_at{20'000};
@@ -192,9 +192,9 @@
     if (fault == fleet_fault::lost) {
         return;
     }
-    at(m, m.now + (fault == fleet_fault::late ? late_by : message_delay), act);
+    at(m, m.now + (fault == fleet_fault::late ? late_message_delay : message_delay), act);
     if (fault == fleet_fault::twice) {
-        at(m, m.now + late_by, act);
+        at(m, m.now + late_message_delay, act);
     }
 }
 
