--- a/unit_tests/control/inventory_test.cpp
+++ b/unit_tests/control/inventory_test.cpp
@@ -86,7 +86,7 @@
 }
 
 /// The query of this kind that the store has not answered yet.
-inventory_query question_of(const control_state& state, inventory_kind kind)
+inventory_query pending_query_of(const control_state& state, inventory_kind kind)
 {
     const auto& list = state.inventory.lists.at(static_cast<std::size_t>(kind));
     inventory_query query;
@@ -103,13 +103,13 @@
                bool has_more = false)
 {
     const inventory_page page{items, store_revision(revision), has_more};
-    return reduce(state, at(now, inventory_read_event{question_of(state, kind), page}));
+    return reduce(state, at(now, inventory_read_event{pending_query_of(state, kind), page}));
 }
 
 effects fail(control_state& state, milliseconds now, inventory_kind kind, result_code code)
 {
     return reduce(state,
-                  at(now, inventory_read_event{question_of(state, kind),
+                  at(now, inventory_read_event{pending_query_of(state, kind),
                                                error{code, "failure injected by the test"}}));
 }
 
@@ -245,9 +245,10 @@
         answer(state, milliseconds(2), inventory_kind::configuration, {configuration_of(1)}, 5);
         answer(state, milliseconds(3), inventory_kind::targets, {item_of(target_of("t1"))}, 5,
                true);
-        CPPUNIT_ASSERT_EQUAL(std::string("t1"), question_of(state, inventory_kind::targets).after);
+        CPPUNIT_ASSERT_EQUAL(std::string("t1"),
+                             pending_query_of(state, inventory_kind::targets).after);
         answer(state, milliseconds(4), inventory_kind::targets, {item_of(target_of("t2"))}, 7);
-        const auto next = question_of(state, inventory_kind::targets);
+        const auto next = pending_query_of(state, inventory_kind::targets);
         CPPUNIT_ASSERT(next.follow);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{5}, next.since.value); // The first page's revision.
         CPPUNIT_ASSERT(knows(state, "t1") && knows(state, "t2"));
@@ -274,11 +275,11 @@
     {
         auto state = serving_state({item_of(target_of("t1")), item_of(target_of("t2"))});
         fail(state, seconds(5), inventory_kind::targets, result_code::platform_history_lost);
-        CPPUNIT_ASSERT(!question_of(state, inventory_kind::targets).follow);
+        CPPUNIT_ASSERT(!pending_query_of(state, inventory_kind::targets).follow);
         answer(state, seconds(5), inventory_kind::targets, {item_of(target_of("t2"))}, 30);
         CPPUNIT_ASSERT(!knows(state, "t1"));
         CPPUNIT_ASSERT(knows(state, "t2"));
-        CPPUNIT_ASSERT(question_of(state, inventory_kind::targets).follow);
+        CPPUNIT_ASSERT(pending_query_of(state, inventory_kind::targets).follow);
     }
 
     void unreadable_entries_are_ignored_and_logged_once()
@@ -339,7 +340,7 @@
     {
         auto state = serving_state({item_of(target_of("t"))});
         tick_until(state, milliseconds(250), milliseconds(900));
-        const auto silent = question_of(state, inventory_kind::evacuations);
+        const auto silent = pending_query_of(state, inventory_kind::evacuations);
         gossip_message news;
         news.from = make_host(2).id;
         news.heartbeats = {{make_host(2).id, incarnation(1), 1, false, false}};
@@ -348,7 +349,7 @@
             store_revision(12);
         reduce(state, at(milliseconds(1'000), gossip_event{news}));
         tick_until(state, milliseconds(1'000), milliseconds(1'500));
-        const auto next = question_of(state, inventory_kind::evacuations);
+        const auto next = pending_query_of(state, inventory_kind::evacuations);
         CPPUNIT_ASSERT(next.number > silent.number);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{10}, next.since.value);
     }
@@ -494,7 +495,7 @@
         reduce(state, at(seconds(3), peer_inventory_event{"peer", copy}));
         CPPUNIT_ASSERT(knows(state, "deleted"));
         tick_until(state, seconds(3), seconds(6)); // Queries again.
-        CPPUNIT_ASSERT(!question_of(state, inventory_kind::targets).follow);
+        CPPUNIT_ASSERT(!pending_query_of(state, inventory_kind::targets).follow);
         answer(state, seconds(6), inventory_kind::targets, {item_of(target_of("t"))}, 21);
         tick_until(state, seconds(6), seconds(6) + reregistration_time + tick_interval);
         CPPUNIT_ASSERT(knows(state, "t"));
@@ -578,7 +579,7 @@
     void late_answers_to_superseded_queries_are_ignored()
     {
         auto state = serving_state({item_of(target_of("t"))});
-        auto replaced = question_of(state, inventory_kind::targets);
+        auto replaced = pending_query_of(state, inventory_kind::targets);
         --replaced.number;
         const inventory_page page{{{"t", deleted_entry{}}}, store_revision(11), false};
         reduce(state, at(seconds(1), inventory_read_event{replaced, page}));
