--- a/unit_tests/control/crash_evidence_test.cpp
+++ b/unit_tests/control/crash_evidence_test.cpp
@@ -67,7 +67,7 @@
 
 class crash_evidence_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(crash_evidence_test);
-    CPPUNIT_TEST(a_crash_is_told_to_few_hosts_of_a_large_fleet);
+    CPPUNIT_TEST(a_crash_is_reported_to_few_hosts_of_a_large_fleet);
     CPPUNIT_TEST(a_request_at_crashes_seen_by_different_hosts_is_refused_everywhere);
     CPPUNIT_TEST(all_hosts_are_notified_despite_the_loss_of_a_regions_followers);
     CPPUNIT_TEST(uninvolved_requests_are_not_refused);
@@ -76,7 +76,7 @@
 public:
     /// Guards against a flood of evidence: when targets lost a quarter of their answers, every host
     /// reported each loss to every other host, which saturated the CPUs of the fleet for seconds.
-    void a_crash_is_told_to_few_hosts_of_a_large_fleet()
+    void a_crash_is_reported_to_few_hosts_of_a_large_fleet()
     {
         auto world = make_world();
         world.report_crash(other_host(world, 0), evidence_of(poison, "t1"));
