--- a/unit_tests/control/probing_test.cpp
+++ b/unit_tests/control/probing_test.cpp
@@ -73,7 +73,7 @@
     CPPUNIT_TEST(a_death_is_known_soon_in_large_domains);
     CPPUNIT_TEST(a_death_is_known_soon_over_lossy_paths);
     CPPUNIT_TEST(many_deaths_at_once_are_known_soon);
-    CPPUNIT_TEST(no_live_host_is_taken_for_dead);
+    CPPUNIT_TEST(no_live_host_is_declared_dead);
     CPPUNIT_TEST(no_live_host_of_a_small_domain_is_taken_for_dead);
     CPPUNIT_TEST(no_live_host_of_a_large_domain_is_taken_for_dead);
     CPPUNIT_TEST_SUITE_END();
@@ -111,7 +111,7 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{0}, false_deaths(world));
     }
 
-    void no_live_host_is_taken_for_dead()
+    void no_live_host_is_declared_dead()
     {
         for (const double loss : {0.0, 0.1}) {
             store_world world({3, 2, 12, loss, 5, milliseconds(3'000)});
