--- a/unit_tests/control/probing_test.cpp
+++ b/unit_tests/control/probing_test.cpp
@@ -74,7 +74,7 @@
     CPPUNIT_TEST(a_death_is_known_soon_over_lossy_paths);
     CPPUNIT_TEST(many_deaths_at_once_are_known_soon);
     CPPUNIT_TEST(no_live_host_is_declared_dead);
-    CPPUNIT_TEST(no_live_host_of_a_small_domain_is_taken_for_dead);
+    CPPUNIT_TEST(no_live_host_of_a_small_domain_is_declared_dead);
     CPPUNIT_TEST(no_live_host_of_a_large_domain_is_taken_for_dead);
     CPPUNIT_TEST_SUITE_END();
 
@@ -126,7 +126,7 @@
 
     /// Guards against false positives, seen in membership_benchmark with 24 hosts in 6 failure
     /// domains.
-    void no_live_host_of_a_small_domain_is_taken_for_dead()
+    void no_live_host_of_a_small_domain_is_declared_dead()
     {
         for (const std::size_t hosts_per_domain : {3, 4, 7}) {
             store_world world({3, 2, hosts_per_domain, 0, 5, milliseconds(3'000)});
