--- a/unit_tests/control/probing_test.cpp
+++ b/unit_tests/control/probing_test.cpp
@@ -75,7 +75,7 @@
     CPPUNIT_TEST(many_deaths_at_once_are_known_soon);
     CPPUNIT_TEST(no_live_host_is_declared_dead);
     CPPUNIT_TEST(no_live_host_of_a_small_domain_is_declared_dead);
-    CPPUNIT_TEST(no_live_host_of_a_large_domain_is_taken_for_dead);
+    CPPUNIT_TEST(no_live_host_of_a_large_domain_is_declared_dead);
     CPPUNIT_TEST_SUITE_END();
 
 public:
@@ -141,7 +141,7 @@
 
     /// Guards against false positives, seen in membership_benchmark with 198 hosts in 9 failure
     /// domains.
-    void no_live_host_of_a_large_domain_is_taken_for_dead()
+    void no_live_host_of_a_large_domain_is_declared_dead()
     {
         store_world world({3, 3, 22, 0.1, 5, milliseconds(3'000)});
         for (int i = 0; i < 180; ++i) {
