--- a/unit_tests/control/unreachable_targets_test.cpp
+++ b/unit_tests/control/unreachable_targets_test.cpp
@@ -60,7 +60,7 @@
 class unreachable_targets_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(unreachable_targets_test);
     CPPUNIT_TEST(one_refused_connection_is_known_in_the_region);
-    CPPUNIT_TEST(a_target_gets_work_again_after_a_while);
+    CPPUNIT_TEST(an_exclusion_ends_after_a_fixed_time);
     CPPUNIT_TEST(reports_of_a_host_refused_by_most_targets_are_ignored);
     CPPUNIT_TEST_SUITE_END();
 
@@ -76,7 +76,7 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{0}, hosts_without(world, dead, "r1"));
     }
 
-    void a_target_gets_work_again_after_a_while()
+    void an_exclusion_ends_after_a_fixed_time()
     {
         auto world = make_world();
         world.report_refused_connection(world.hosts().front(), dead);
