--- a/unit_tests/control/store_followers_test.cpp
+++ b/unit_tests/control/store_followers_test.cpp
@@ -166,9 +166,9 @@
         for (const auto& id : frozen) {
             world.clear_fault(id);
         }
-        constexpr int steps_until_in_touch =
+        constexpr int recovery_steps =
             50; // Steps of 100 ms: 3 s until alive again, 2 s until changes arrive.
-        for (int step = 0; step < steps_until_in_touch; ++step) {
+        for (int step = 0; step < recovery_steps; ++step) {
             world.run_for(milliseconds(100));
             for (const auto& id : world.hosts()) {
                 const bool was_frozen = std::ranges::find(frozen, id) != frozen.end();
