--- a/unit_tests/control/store_followers_test.cpp
+++ b/unit_tests/control/store_followers_test.cpp
@@ -20,7 +20,8 @@
 }
 
 /// Whether the condition holds on all hosts without a fault.
-bool all_sound(const store_world& world, const std::function<bool(const control_state&)>& condition)
+bool holds_on_healthy_hosts(const store_world& world,
+                            const std::function<bool(const control_state&)>& condition)
 {
     return std::ranges::all_of(world.hosts(), [&](const host_id& id) {
         return world.has_fault(id) || condition(world.state_of(id));
@@ -30,7 +31,7 @@
 bool is_up_to_date(const store_world& world, std::uint64_t configuration, const std::string& target,
                    const std::string& gone)
 {
-    return all_sound(world, [&](const control_state& state) {
+    return holds_on_healthy_hosts(world, [&](const control_state& state) {
         return state.fleet.envelope && state.fleet.envelope->number.value == configuration &&
                knows_target(state, target) && !knows_target(state, gone);
     });
@@ -91,7 +92,7 @@
     void all_hosts_start_and_few_follow()
     {
         const auto world = make_world();
-        CPPUNIT_ASSERT(all_sound(world, [](const control_state& state) {
+        CPPUNIT_ASSERT(holds_on_healthy_hosts(world, [](const control_state& state) {
             return state.stage == life_stage::serving && knows_target(state, "stays");
         }));
         CPPUNIT_ASSERT_EQUAL(3 * followers_per_region, world.followers().size());
@@ -109,7 +110,7 @@
             world.put_evacuation("r1-0");
             constexpr seconds evacuation_bound{5};
             world.run_for(evacuation_bound);
-            CPPUNIT_ASSERT(all_sound(world, [](const control_state& state) {
+            CPPUNIT_ASSERT(holds_on_healthy_hosts(world, [](const control_state& state) {
                 return state.inventory.evacuated.contains(failure_domain_id("r1-0"));
             }));
         }
@@ -212,7 +213,7 @@
             world.restart(all[i]);
         }
         world.run_for(seconds(4));
-        CPPUNIT_ASSERT(all_sound(world, [](const control_state& state) {
+        CPPUNIT_ASSERT(holds_on_healthy_hosts(world, [](const control_state& state) {
             return state.stage == life_stage::serving && knows_target(state, "stays");
         }));
     }
