--- a/unit_tests/control/probing_test.cpp
+++ b/unit_tests/control/probing_test.cpp
@@ -30,7 +30,7 @@
 }
 
 /// The number of live hosts that consider `who` alive, in its failure domain or elsewhere.
-std::size_t believers(const store_world& world, const host_id& who, bool at_home)
+std::size_t hosts_considering_alive(const store_world& world, const host_id& who, bool at_home)
 {
     const auto all = world.hosts();
     return static_cast<std::size_t>(std::ranges::count_if(all, [&](const host_id& at) {
@@ -60,9 +60,9 @@
     const auto dead = world.hosts().at(hosts_per_domain / 2);
     world.set_fault(dead, host_fault::dead);
     world.run_for(known_at_home_within);
-    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, believers(world, dead, true));
+    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, hosts_considering_alive(world, dead, true));
     world.run_for(known_elsewhere_within - known_at_home_within);
-    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, believers(world, dead, false));
+    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, hosts_considering_alive(world, dead, false));
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, false_deaths(world));
 }
 
@@ -106,7 +106,7 @@
         }
         world.run_for(known_elsewhere_within);
         for (const auto& id : dead) {
-            CPPUNIT_ASSERT_EQUAL(std::size_t{0}, believers(world, id, true));
+            CPPUNIT_ASSERT_EQUAL(std::size_t{0}, hosts_considering_alive(world, id, true));
         }
         CPPUNIT_ASSERT_EQUAL(std::size_t{0}, false_deaths(world));
     }
