--- a/unit_tests/control/probing_test.cpp
+++ b/unit_tests/control/probing_test.cpp
@@ -22,7 +22,7 @@
 }
 
 /// Whether host `at` considers host `who` alive.
-bool believes_alive(const store_world& world, const host_id& at, const host_id& who)
+bool considers_alive(const store_world& world, const host_id& at, const host_id& who)
 {
     const auto& members = world.state_of(at).membership.members;
     const auto found = members.find(who);
@@ -36,7 +36,7 @@
     return static_cast<std::size_t>(std::ranges::count_if(all, [&](const host_id& at) {
         const bool is_home = domain_of(world, at) == domain_of(world, who);
         return at != who && !world.has_fault(at) && is_home == at_home &&
-               believes_alive(world, at, who);
+               considers_alive(world, at, who);
     }));
 }
 
