--- a/unit_tests/control/probing_test.cpp
+++ b/unit_tests/control/probing_test.cpp
@@ -53,7 +53,8 @@
     return count;
 }
 
-void play_death(std::size_t domains_per_region, std::size_t hosts_per_domain, double loss)
+void check_death_detection(std::size_t domains_per_region, std::size_t hosts_per_domain,
+                           double loss)
 {
     store_world world({3, domains_per_region, hosts_per_domain, loss, 11, milliseconds(3'000)});
     world.run_for(warm_up);
@@ -81,15 +82,15 @@
 public:
     void a_death_is_known_soon_in_large_domains()
     {
-        play_death(2, 4, 0);
-        play_death(2, 11, 0);
-        play_death(3, 22, 0);
+        check_death_detection(2, 4, 0);
+        check_death_detection(2, 11, 0);
+        check_death_detection(3, 22, 0);
     }
 
     void a_death_is_known_soon_over_lossy_paths()
     {
-        play_death(2, 11, 0.05);
-        play_death(3, 22, 0.05);
+        check_death_detection(2, 11, 0.05);
+        check_death_detection(3, 22, 0.05);
     }
 
     /// Half of the hosts of a failure domain die at once, so that many dead hosts have dead
