--- a/source/control/store_followers.h
+++ b/source/control/store_followers.h
@@ -41,10 +41,10 @@
 bool may_query_store(const control_state& state, inventory_kind kind, monotonic_time now);
 
 /// The number of followers in all regions and the position of this host among them.
-struct follower_place {
+struct follower_position {
     std::size_t place = 0;
     std::size_t followers = 1;
 };
-follower_place place_among_followers(const control_state& state);
+follower_position place_among_followers(const control_state& state);
 
 } // namespace almondquay
