--- a/source/control/store_followers.cpp
+++ b/source/control/store_followers.cpp
@@ -170,7 +170,7 @@
     return next;
 }
 
-follower_position place_among_followers(const control_state& state)
+follower_position position_among_followers(const control_state& state)
 {
     auto regions = other_regions(state);
     const auto home = region_in(state, state.self.domain);
--- a/source/control/store_followers.h
+++ b/source/control/store_followers.h
@@ -45,6 +45,6 @@
     std::size_t place = 0;
     std::size_t followers = 1;
 };
-follower_position place_among_followers(const control_state& state);
+follower_position position_among_followers(const control_state& state);
 
 } // namespace almondquay
