--- a/source/control/inventory_sync.cpp
+++ b/source/control/inventory_sync.cpp
@@ -65,13 +65,13 @@
     if (kind == inventory_kind::hosts) {
         return longest_follow_wait;
     }
-    const auto [place, followers] = position_among_followers(state);
+    const auto [position, followers] = position_among_followers(state);
     const auto whole = std::clamp(follow_interval * static_cast<int>(followers),
                                   shortest_follow_wait, longest_wait(kind));
     // A change completes the long polls of all followers at the same time, so the first wait after
     // it differs between them and the later answers without changes are spread over time.
     return list_of(state.inventory, kind).had_changes
-               ? whole * static_cast<int>(place + 1) / static_cast<int>(followers)
+               ? whole * static_cast<int>(position + 1) / static_cast<int>(followers)
                : whole;
 }
 
--- a/source/control/store_followers.h
+++ b/source/control/store_followers.h
@@ -42,7 +42,7 @@
 
 /// The number of followers in all regions and the position of this host among them.
 struct follower_position {
-    std::size_t place = 0;
+    std::size_t position = 0;
     std::size_t followers = 1;
 };
 follower_position position_among_followers(const control_state& state);
