--- a/source/control/fleet_adoption.cpp
+++ b/source/control/fleet_adoption.cpp
@@ -31,7 +31,7 @@
     return std::chrono::milliseconds(jitter(state.random));
 }
 
-bool is_known_no_newer(const control_state& state, const fleet_envelope& envelope)
+bool is_not_newer(const control_state& state, const fleet_envelope& envelope)
 {
     return state.fleet.envelope && envelope.number <= state.fleet.envelope->number;
 }
@@ -127,7 +127,7 @@
 void adopt(control_state& state, const event& e, const fleet_envelope& envelope,
            const std::string& source, effects& out)
 {
-    if (is_known_no_newer(state, envelope)) {
+    if (is_not_newer(state, envelope)) {
         report_generation_conflict(state, e, envelope, source, out);
         return;
     }
