--- a/source/control/reducer.cpp
+++ b/source/control/reducer.cpp
@@ -23,10 +23,10 @@
     if (is_stopping) {
         return;
     }
-    const auto wished = state.fleet.configuration.settings.lookup_ttl + leave_margin;
+    const auto full_grace = state.fleet.configuration.settings.lookup_ttl + leave_margin;
     const bool is_bounded = state.self.stop_grace.count() != 0;
     const auto grace =
-        is_bounded ? std::min(wished, state.self.stop_grace / leave_grace_divisor) : wished;
+        is_bounded ? std::min(full_grace, state.self.stop_grace / leave_grace_divisor) : full_grace;
     state.stage = life_stage::leaving;
     state.leave_deadline = e.now + grace;
     state.snapshot_is_stale = true;
