--- a/source/control/store_followers.cpp
+++ b/source/control/store_followers.cpp
@@ -140,8 +140,8 @@
         return true;
     }
     const auto confirmed = std::max(list_of(state.inventory, kind).confirmed, state.started);
-    const auto later = takeover_step * static_cast<int>(rank - followers_per_region);
-    return now - confirmed >= takeover_age(state, kind) + later;
+    const auto takeover_delay = takeover_step * static_cast<int>(rank - followers_per_region);
+    return now - confirmed >= takeover_age(state, kind) + takeover_delay;
 }
 
 std::vector<const host*> standby_followers(const control_state& state, monotonic_time now)
