--- a/source/control/inventory_sync.cpp
+++ b/source/control/inventory_sync.cpp
@@ -110,8 +110,10 @@
     }
     const auto before =
         std::exchange(state.inventory.unreachable_since, answers ? monotonic_time{} : e.now);
-    const auto away = before == monotonic_time{} ? monotonic_time::duration{} : e.now - before;
-    const auto away_ms = std::chrono::duration_cast<std::chrono::milliseconds>(away).count();
+    const auto outage_duration =
+        before == monotonic_time{} ? monotonic_time::duration{} : e.now - before;
+    const auto away_ms =
+        std::chrono::duration_cast<std::chrono::milliseconds>(outage_duration).count();
     decide(state, out, e.wall,
            {answers ? "store_answers" : "store_away",
             "the known state stays in force while the store does not answer",
