--- a/source/control/membership.cpp
+++ b/source/control/membership.cpp
@@ -143,7 +143,8 @@
 }
 
 /// Sends a message to a random peer if the bandwidth budget permits.
-bool send_one(control_state& state, const domain_set& near_domains, bool near, effects& out)
+bool send_to_random_peer(control_state& state, const domain_set& near_domains, bool near,
+                         effects& out)
 {
     auto peers = gossip_peers(state, near_domains, near);
     if (peers.empty()) {
@@ -170,7 +171,7 @@
     membership.gossip_credit = std::min(membership.gossip_credit + earned, max_gossip_credit);
     for (std::size_t sent = 0; sent < max_messages_per_tick; ++sent) {
         const bool near = membership.gossip_messages_sent % cross_domain_interval != 0;
-        if (!send_one(state, near_domains, near, out)) {
+        if (!send_to_random_peer(state, near_domains, near, out)) {
             return;
         }
         ++membership.gossip_messages_sent;
