--- a/unit_tests/control/inventory_test.cpp
+++ b/unit_tests/control/inventory_test.cpp
@@ -227,9 +227,9 @@
     void serves_once_configuration_and_targets_are_known()
     {
         auto state = make_state();
-        const auto results = reduce(state, at(milliseconds(1), tick_event{}));
-        CPPUNIT_ASSERT_EQUAL(inventory_kinds, count<query_inventory_effect>(results));
-        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, count<register_host_effect>(results));
+        const auto emitted = reduce(state, at(milliseconds(1), tick_event{}));
+        CPPUNIT_ASSERT_EQUAL(inventory_kinds, count<query_inventory_effect>(emitted));
+        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, count<register_host_effect>(emitted));
         answer(state, milliseconds(2), inventory_kind::configuration, {configuration_of(1)}, 5);
         CPPUNIT_ASSERT(state.stage == life_stage::starting);
         const auto published =
@@ -365,15 +365,15 @@
             beat.heartbeats = {{make_host(i).id, incarnation(1), 1, false, false}};
             reduce(state, at(milliseconds(100), gossip_event{beat}));
         }
-        const auto results = answer(state, milliseconds(200), inventory_kind::evacuations, {}, 10);
-        for (const auto& e : results) {
+        const auto emitted = answer(state, milliseconds(200), inventory_kind::evacuations, {}, 10);
+        for (const auto& e : emitted) {
             if (const auto* query = std::get_if<query_inventory_effect>(&e)) {
                 CPPUNIT_ASSERT(query->query.wait >= seconds(1));
                 CPPUNIT_ASSERT(query->query.wait / followers_per_region <
                                milliseconds(2'000) - takeover_margin);
             }
         }
-        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, count<query_inventory_effect>(results));
+        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, count<query_inventory_effect>(emitted));
     }
 
     /// Guards against long waits for lost queries: a store that was silent from 15 to 19.5 s lost
@@ -391,14 +391,14 @@
             reduce(state, at(milliseconds(100), gossip_event{beat}));
         }
         for (const auto kind : {inventory_kind::targets, inventory_kind::configuration}) {
-            const auto results = answer(state, milliseconds(200), kind, {}, 10);
-            for (const auto& e : results) {
+            const auto emitted = answer(state, milliseconds(200), kind, {}, 10);
+            for (const auto& e : emitted) {
                 if (const auto* query = std::get_if<query_inventory_effect>(&e)) {
                     CPPUNIT_ASSERT(query->query.wait + call_timeout <
                                    in_touch_after_outage + drain_time);
                 }
             }
-            CPPUNIT_ASSERT_EQUAL(std::size_t{1}, count<query_inventory_effect>(results));
+            CPPUNIT_ASSERT_EQUAL(std::size_t{1}, count<query_inventory_effect>(emitted));
         }
     }
 
@@ -440,8 +440,8 @@
             fail(state, milliseconds(2), static_cast<inventory_kind>(i),
                  result_code::platform_unavailable);
         }
-        const auto results = reduce(state, at(milliseconds(401), tick_event{}));
-        CPPUNIT_ASSERT_EQUAL(std::size_t{2}, count<fetch_inventory_effect>(results)); // Two seeds.
+        const auto emitted = reduce(state, at(milliseconds(401), tick_event{}));
+        CPPUNIT_ASSERT_EQUAL(std::size_t{2}, count<fetch_inventory_effect>(emitted)); // Two seeds.
         inventory_copy copy;
         copy.at.at(static_cast<std::size_t>(inventory_kind::hosts)) = store_revision(50);
         copy.hosts = {make_host(2)};
@@ -511,9 +511,9 @@
         fail(state, seconds(2), inventory_kind::targets, result_code::platform_unavailable);
         for (auto now = milliseconds(2'250); now <= seconds(5); now += tick_interval) {
             for (const auto& e : reduce(state, at(now, tick_event{}))) {
-                const auto* results = std::get_if<query_inventory_effect>(&e);
-                if (results != nullptr && results->query.kind == inventory_kind::targets) {
-                    CPPUNIT_ASSERT(results->query.wait == milliseconds(0));
+                const auto* emitted = std::get_if<query_inventory_effect>(&e);
+                if (emitted != nullptr && emitted->query.kind == inventory_kind::targets) {
+                    CPPUNIT_ASSERT(emitted->query.wait == milliseconds(0));
                     return;
                 }
             }
