--- a/unit_tests/control/probing_test.cpp
+++ b/unit_tests/control/probing_test.cpp
@@ -118,7 +118,7 @@
             store_world world({3, 2, 12, loss, 5, milliseconds(3'000)});
             for (int i = 0; i < 90; ++i) {
                 world.run_for(seconds(1));
-                CPPUNIT_ASSERT_EQUAL_MESSAGE("loss " + std::to_string(loss) + ", at s " +
+                CPPUNIT_ASSERT_EQUAL_MESSAGE("loss " + std::to_string(loss) + ", at second " +
                                                  std::to_string(i),
                                              std::size_t{0}, false_deaths(world));
             }
@@ -134,7 +134,8 @@
             for (int i = 0; i < 180; ++i) {
                 world.run_for(seconds(1));
                 CPPUNIT_ASSERT_EQUAL_MESSAGE(std::to_string(hosts_per_domain) +
-                                                 " hosts a domain, at s " + std::to_string(i),
+                                                 " hosts per domain, at second " +
+                                                 std::to_string(i),
                                              std::size_t{0}, false_deaths(world));
             }
         }
@@ -147,7 +148,7 @@
         store_world world({3, 3, 22, 0.1, 5, milliseconds(3'000)});
         for (int i = 0; i < 180; ++i) {
             world.run_for(seconds(1));
-            CPPUNIT_ASSERT_EQUAL_MESSAGE("at s " + std::to_string(i), std::size_t{0},
+            CPPUNIT_ASSERT_EQUAL_MESSAGE("at second " + std::to_string(i), std::size_t{0},
                                          false_deaths(world));
         }
     }
