--- a/unit_tests/processes/trace_causes.sh
+++ b/unit_tests/processes/trace_causes.sh
@@ -89,6 +89,7 @@
 expect_cause shed target_shed "Target i-1 shed the request without running it"
 ask hurried /main/a 1
 expect_cause hurried overloaded "were predicted, and"
+wait_until 3 grep -q 'event=target_listed .*target:i-9' "$log"
 ask replaced /replaced/a
 expect_cause replaced target_replaced "Another target had taken the address of target i-9"
 ask alone /empty/a
